--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -9,7 +9,7 @@
 use bramblecrank::agree::{HardState, Payload, Persist, Replica, Snapshot, StoreId};
 use bramblecrank::config::{Config, CustomerId, Document, HallSet, ServiceId};
 use bramblecrank::dispatch::{Decision, Dispatcher};
-use bramblecrank::wire::{Ending, HostId, ToDispatcher, Want};
+use bramblecrank::wire::{Ending, GrantRequest, HostId, ToDispatcher};
 
 const CONFIGURATION: &str = "
 halls: [here]
@@ -34,14 +34,14 @@
     dispatcher.receive(0, router, 1, join);
     let mut decisions = Vec::new();
     for seq in 1..=80 {
-        let want = Want {
+        let want = GrantRequest {
             seq,
             customer: CustomerId((seq % 2) as u32),
             input: 10,
             start_within_ms: 60_000,
             prefix: vec![],
         };
-        decisions.extend(dispatcher.receive(0, router, 1, ToDispatcher::Want(want)));
+        decisions.extend(dispatcher.receive(0, router, 1, ToDispatcher::GrantRequest(want)));
     }
     let mut served = [0; 2];
     let mut now = 0;
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -21,7 +21,7 @@
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
 use bramblecrank::wire::{
-    Beat, Ending, FromDispatcher, Heartbeat, HostId, Role, ToDispatcher, Want,
+    Beat, Ending, FromDispatcher, GrantRequest, Heartbeat, HostId, Role, ToDispatcher,
 };
 
 fn main() {
@@ -47,8 +47,8 @@
     postcard::to_stdvec(value).map_or(0.0, |b| b.len() as f64)
 }
 
-fn want(seq: u64, customer: u32, prefix: usize) -> Want {
-    Want {
+fn want(seq: u64, customer: u32, prefix: usize) -> GrantRequest {
+    GrantRequest {
         seq,
         customer: CustomerId(customer),
         input: 900,
@@ -73,8 +73,8 @@
 
 fn sizes() {
     title("Bytes of messages, without headers");
-    row("want, short prompt", 1, bytes(&ToDispatcher::Want(want(100_000, 15_000, 0))), "B");
-    row("want, long prompt", 1, bytes(&ToDispatcher::Want(want(100_000, 15_000, 4))), "B");
+    row("want, short prompt", 1, bytes(&ToDispatcher::GrantRequest(want(100_000, 15_000, 0))), "B");
+    row("want, long prompt", 1, bytes(&ToDispatcher::GrantRequest(want(100_000, 15_000, 4))), "B");
     let grant = FromDispatcher::Grant {
         seq: 100_000,
         endpoint: bramblecrank::config::EndpointId(900),
@@ -132,7 +132,7 @@
         let mut seq = 0;
         let mut ask = |dispatcher: &mut Dispatcher, customer: u32, now| {
             seq += 1;
-            let want = ToDispatcher::Want(want(seq, customer, 0));
+            let want = ToDispatcher::GrantRequest(want(seq, customer, 0));
             dispatcher.receive(now, HostId(1), 1, want)
         };
         for n in 0..(customers * 4 + endpoints * 20) {
--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -4,7 +4,7 @@
 
 use super::Millis;
 use crate::config::{CustomerId, EndpointId, HallSet};
-use crate::wire::{Ending, FromDispatcher, RefuseReason, ToDispatcher, Want};
+use crate::wire::{Ending, FromDispatcher, GrantRequest, RefuseReason, ToDispatcher};
 
 /// Units beyond the last report after which a running request reports again.
 const PROGRESS_UNITS: u32 = 512;
@@ -156,7 +156,7 @@
     }
 
     /// A request wants to run.
-    pub fn submit(&mut self, now: Millis, want: Want) -> Submitted {
+    pub fn submit(&mut self, now: Millis, want: GrantRequest) -> Submitted {
         if let Some(held) = self.held(now, want.customer) {
             return held;
         }
@@ -169,7 +169,7 @@
         };
         self.open.insert(want.seq, request);
         match self.session {
-            Some(_) => Submitted::Send(ToDispatcher::Want(want)),
+            Some(_) => Submitted::Send(ToDispatcher::GrantRequest(want)),
             None => Submitted::Kept,
         }
     }
@@ -274,7 +274,7 @@
 impl OpenRequest {
     fn introduce(&self, now: Millis, seq: u64) -> ToDispatcher {
         match self.phase {
-            Phase::Waiting => ToDispatcher::Want(Want {
+            Phase::Waiting => ToDispatcher::GrantRequest(GrantRequest {
                 seq,
                 customer: self.customer,
                 input: self.input,
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -12,7 +12,7 @@
 use super::capacity::{Capacity, EndpointLoad};
 use super::estimate::{FairOrder, SlotRate};
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::wire::{Ending, HostId, RefuseReason, ToDispatcher, Want};
+use crate::wire::{Ending, GrantRequest, HostId, RefuseReason, ToDispatcher};
 
 /// A dispatcher not run for this long may have been replaced: it forgets.
 pub const THAW_MS: Millis = 1_000;
@@ -198,7 +198,7 @@
         match message {
             ToDispatcher::Join { .. } => {}
             ToDispatcher::Reach(reach) => self.set_reach(router, reach),
-            ToDispatcher::Want(want) => self.want(now, router, want, &mut out),
+            ToDispatcher::GrantRequest(want) => self.want(now, router, want, &mut out),
             ToDispatcher::Running { seq, customer, endpoint, units } => {
                 self.running(now, router, seq, customer, endpoint, units);
             }
@@ -264,7 +264,7 @@
         }
     }
 
-    fn want(&mut self, now: Millis, router: HostId, want: Want, out: &mut Vec<Decision>) {
+    fn want(&mut self, now: Millis, router: HostId, want: GrantRequest, out: &mut Vec<Decision>) {
         if self.granted.contains_key(&(router, want.seq)) {
             return;
         }
--- a/src/dispatch/dispatcher/refusal.rs
+++ b/src/dispatch/dispatcher/refusal.rs
@@ -1,8 +1,8 @@
 //! What cannot be served is refused at once.
 
 use super::{
-    BLIND_RETRY_MS, CustomerId, Decision, Dispatcher, GIVE_UP_FACTOR, HallSet, HostId, MAX_HOLD_MS,
-    MAX_RETRY_MS, MIN_RETRY_MS, Millis, RefuseReason, Waiting, Want,
+    BLIND_RETRY_MS, CustomerId, Decision, Dispatcher, GIVE_UP_FACTOR, GrantRequest, HallSet,
+    HostId, MAX_HOLD_MS, MAX_RETRY_MS, MIN_RETRY_MS, Millis, RefuseReason, Waiting,
 };
 use crate::dispatch::estimate::{FairOrder, queued_units, share_of};
 
@@ -12,7 +12,7 @@
         now: Millis,
         router: HostId,
         reach: HallSet,
-        want: &Want,
+        want: &GrantRequest,
     ) -> Option<(RefuseReason, u32, u32)> {
         // A dispatcher that does not know the service yet is behind its routers.
         let knows = self.config.services.contains_key(&self.service);
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::config::{Config, CustomerId, EndpointId, HallId, HallSet, ServiceId};
-use crate::wire::{Ending, HostId, RefuseReason, ToDispatcher, Want};
+use crate::wire::{Ending, GrantRequest, HostId, RefuseReason, ToDispatcher};
 
 const ROUTER: HostId = HostId(1);
 
@@ -66,14 +66,14 @@
 
     fn want_within(&mut self, customer: u32, input: u32, start_within_ms: u32) -> Vec<Decision> {
         self.seq += 1;
-        let want = Want {
+        let want = GrantRequest {
             seq: self.seq,
             customer: CustomerId(customer),
             input,
             start_within_ms,
             prefix: vec![],
         };
-        self.send(ToDispatcher::Want(want))
+        self.send(ToDispatcher::GrantRequest(want))
     }
 
     fn send(&mut self, message: ToDispatcher) -> Vec<Decision> {
@@ -257,9 +257,14 @@
     bench.send(ToDispatcher::Reach(HallSet::default().with(HallId(0))));
     bench.join(HostId(2), 5, HallSet::default().with(HallId(1)), false, vec![]);
     (0..10).for_each(|_| drop(bench.want(0, 1)));
-    let want =
-        Want { seq: 1, customer: CustomerId(0), input: 1, start_within_ms: 60_000, prefix: vec![] };
-    let decisions = bench.dispatcher.receive(0, HostId(2), 5, ToDispatcher::Want(want));
+    let want = GrantRequest {
+        seq: 1,
+        customer: CustomerId(0),
+        input: 1,
+        start_within_ms: 60_000,
+        prefix: vec![],
+    };
+    let decisions = bench.dispatcher.receive(0, HostId(2), 5, ToDispatcher::GrantRequest(want));
     assert_eq!(grants(&decisions), [(0, 1, 1)]);
 }
 
@@ -293,14 +298,14 @@
     let mut bench = Bench::new(config(&[1], &[(0, 4), (0, 4), (0, 4)], 10));
     let mut ask = |prefix: Vec<u32>| {
         bench.seq += 1;
-        let want = Want {
+        let want = GrantRequest {
             seq: bench.seq,
             customer: CustomerId(0),
             input: 1,
             start_within_ms: 1_000,
             prefix,
         };
-        grants(&bench.send(ToDispatcher::Want(want)))[0].2
+        grants(&bench.send(ToDispatcher::GrantRequest(want)))[0].2
     };
     let first = ask(vec![11, 12]);
     let other = ask(vec![21]);
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use super::super::*;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::wire::{Ending, FromDispatcher, HostId, ToDispatcher, Want};
+use crate::wire::{Ending, FromDispatcher, GrantRequest, HostId, ToDispatcher};
 
 /// Milliseconds of one step.
 pub const STEP_MS: Millis = 10;
@@ -137,7 +137,7 @@
         let state = &mut self.routers[router];
         state.next_seq += 1;
         let seq = state.next_seq;
-        let want = Want {
+        let want = GrantRequest {
             seq,
             customer: CustomerId(customer),
             input,
--- a/src/dispatch/tests/rests.rs
+++ b/src/dispatch/tests/rests.rs
@@ -64,9 +64,14 @@
     let mut bench = one_endpoint();
     bench.join(OTHER, 1, HallSet::ALL, false, vec![]);
     rests(&mut bench, 10_000);
-    let want =
-        Want { seq: 1, customer: CustomerId(0), input: 5, start_within_ms: 100, prefix: vec![] };
-    let decisions = bench.dispatcher.receive(bench.now, OTHER, 1, ToDispatcher::Want(want));
+    let want = GrantRequest {
+        seq: 1,
+        customer: CustomerId(0),
+        input: 5,
+        start_within_ms: 100,
+        prefix: vec![],
+    };
+    let decisions = bench.dispatcher.receive(bench.now, OTHER, 1, ToDispatcher::GrantRequest(want));
     assert_eq!(grants(&decisions).len(), 1);
 }
 
@@ -75,9 +80,14 @@
     let mut bench = one_endpoint();
     bench.join(OTHER, 1, HallSet::ALL, false, vec![]);
     leaves(&mut bench, true);
-    let want =
-        Want { seq: 1, customer: CustomerId(0), input: 5, start_within_ms: 100, prefix: vec![] };
-    let decisions = bench.dispatcher.receive(bench.now, OTHER, 1, ToDispatcher::Want(want));
+    let want = GrantRequest {
+        seq: 1,
+        customer: CustomerId(0),
+        input: 5,
+        start_within_ms: 100,
+        prefix: vec![],
+    };
+    let decisions = bench.dispatcher.receive(bench.now, OTHER, 1, ToDispatcher::GrantRequest(want));
     assert_eq!(refusals(&decisions)[0].1, RefuseReason::NoEndpoint);
     assert_eq!(refusals(&bench.want(0, 5))[0].1, RefuseReason::NoEndpoint);
     leaves(&mut bench, false);
@@ -92,9 +102,14 @@
     rests(&mut bench, 60_000);
     bench.dispatcher.lost(bench.now, ROUTER, 1);
     bench.wait(ORPHAN_MS + 50);
-    let want =
-        Want { seq: 1, customer: CustomerId(0), input: 5, start_within_ms: 100, prefix: vec![] };
-    let decisions = bench.dispatcher.receive(bench.now, OTHER, 1, ToDispatcher::Want(want));
+    let want = GrantRequest {
+        seq: 1,
+        customer: CustomerId(0),
+        input: 5,
+        start_within_ms: 100,
+        prefix: vec![],
+    };
+    let decisions = bench.dispatcher.receive(bench.now, OTHER, 1, ToDispatcher::GrantRequest(want));
     assert_eq!(grants(&decisions).len(), 1);
 }
 
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -18,8 +18,8 @@
 use crate::peer::Peers;
 use crate::settings::DispatchMode;
 use crate::wire::{
-    BatchSender, BatchWriter, Ending, FromDispatcher, Heartbeat, HostId, Open, Patient,
-    RefuseReason, ToDispatcher, Want,
+    BatchSender, BatchWriter, Ending, FromDispatcher, GrantRequest, Heartbeat, HostId, Open,
+    Patient, RefuseReason, ToDispatcher,
 };
 
 /// How often a link without a dispatcher looks for one.
@@ -39,7 +39,7 @@
 }
 
 enum Event {
-    Submit { want: Want, verdict: oneshot::Sender<Verdict> },
+    Submit { want: GrantRequest, verdict: oneshot::Sender<Verdict> },
     Progress { seq: u64, units: u32 },
     Finish { seq: u64, units: u32, ending: Ending },
     Cancel { seq: u64 },
@@ -84,7 +84,7 @@
     }
 
     /// Asks for a grant; the ticket must be held until the request has ended.
-    pub fn submit(&self, want: Want) -> (Ticket, oneshot::Receiver<Verdict>) {
+    pub fn submit(&self, want: GrantRequest) -> (Ticket, oneshot::Receiver<Verdict>) {
         let (verdict, receiver) = oneshot::channel();
         let ticket = Ticket { link: self.clone(), seq: want.seq, units: 0, open: true };
         self.send(Event::Submit { want, verdict });
@@ -249,7 +249,7 @@
         }
     }
 
-    fn submit(&mut self, want: Want, verdict: oneshot::Sender<Verdict>) {
+    fn submit(&mut self, want: GrantRequest, verdict: oneshot::Sender<Verdict>) {
         let now = self.peers.clock.now();
         let seq = want.seq;
         match self.client.submit(now, want) {
@@ -321,7 +321,9 @@
         let of_reports = self.mean_run / PATIENCE_PART;
         match message {
             ToDispatcher::Done { .. } | ToDispatcher::Progress { .. } => of_reports.min(PATIENCE),
-            ToDispatcher::Want(_) if self.client.waiting_count() > 1 => of_reports.min(PATIENCE),
+            ToDispatcher::GrantRequest(_) if self.client.waiting_count() > 1 => {
+                of_reports.min(PATIENCE)
+            }
             _ => Duration::ZERO,
         }
     }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -25,7 +25,7 @@
 use crate::quarantine::Fingerprint;
 use crate::registry::EndpointStart;
 use crate::telemetry::RequestId;
-use crate::wire::{Ending, RefuseReason, Want};
+use crate::wire::{Ending, GrantRequest, RefuseReason};
 
 /// Time to come back after when nothing better is known, in milliseconds.
 const RETRY_MS: u32 = 1_000;
@@ -189,7 +189,7 @@
             _ => self.router.next_id(),
         };
         self.want_seq = want_id.seq;
-        let want = Want {
+        let want = GrantRequest {
             seq: want_id.seq,
             customer: self.customer,
             input: self.prompt_tokens * self.service.input_weight,
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -186,7 +186,7 @@
 
 /// A request waiting at a router, as its dispatcher sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct GrantRequest {
     /// Number of the request at its router.
     pub seq: u64,
     /// Whose it is.
@@ -225,7 +225,7 @@
     /// The data halls in reach have changed.
     Reach(HallSet),
     /// A request wants to run.
-    Want(Want),
+    GrantRequest(GrantRequest),
     /// A request granted by an earlier dispatcher is running.
     Running {
         /// Number of the request.
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -3,7 +3,7 @@
 use crate::error::Error;
 
 fn want(seq: u64) -> ToDispatcher {
-    ToDispatcher::Want(Want {
+    ToDispatcher::GrantRequest(GrantRequest {
         seq,
         customer: CustomerId(3),
         input: 900,
