--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -9,7 +9,7 @@
 use bramblecrank::agree::{HardState, Payload, Persist, Replica, Snapshot, StoreId};
 use bramblecrank::config::{Config, CustomerId, Document, HallSet, ServiceId};
 use bramblecrank::dispatch::{Decision, Dispatcher};
-use bramblecrank::wire::{Ending, GrantRequest, HostId, ToDispatcher};
+use bramblecrank::wire::{Completion, GrantRequest, HostId, ToDispatcher};
 
 const CONFIGURATION: &str = "
 halls: [here]
@@ -50,7 +50,7 @@
         let Decision::Grant { seq, customer, .. } = decision else { continue };
         served[customer.0 as usize] += 1;
         now += 5;
-        let done = ToDispatcher::Done { seq, units: 10, ending: Ending::Answered };
+        let done = ToDispatcher::Done { seq, units: 10, completion: Completion::Answered };
         decisions.extend(dispatcher.receive(now, router, 1, done));
     }
     println!(
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -21,7 +21,7 @@
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
 use bramblecrank::wire::{
-    Beat, Ending, FromDispatcher, GrantRequest, Heartbeat, HostId, Role, ToDispatcher,
+    Beat, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Role, ToDispatcher,
 };
 
 fn main() {
@@ -82,7 +82,7 @@
         lead: 4_000,
     };
     row("grant", 1, bytes(&grant), "B");
-    let done = ToDispatcher::Done { seq: 100_000, units: 1_500, ending: Ending::Answered };
+    let done = ToDispatcher::Done { seq: 100_000, units: 1_500, completion: Completion::Answered };
     row("done", 1, bytes(&done), "B");
     row("progress", 1, bytes(&ToDispatcher::Progress { seq: 100_000, units: 1_500 }), "B");
     row("whole heartbeat", 1, bytes(&Beat::Whole(beat(7))), "B");
@@ -143,7 +143,7 @@
         for round in 0..rounds {
             let Some(Decision::Grant { seq, customer, .. }) = decisions.pop() else { continue };
             let now = round / 100;
-            let done = ToDispatcher::Done { seq, units: 1_200, ending: Ending::Answered };
+            let done = ToDispatcher::Done { seq, units: 1_200, completion: Completion::Answered };
             decisions.extend(dispatcher.receive(now, HostId(1), 1, done));
             decisions.extend(ask(&mut dispatcher, customer.0, now));
         }
--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -4,7 +4,7 @@
 
 use super::Millis;
 use crate::config::{CustomerId, EndpointId, HallSet};
-use crate::wire::{Ending, FromDispatcher, GrantRequest, RefuseReason, ToDispatcher};
+use crate::wire::{Completion, FromDispatcher, GrantRequest, RefuseReason, ToDispatcher};
 
 /// Units beyond the last report after which a running request reports again.
 const PROGRESS_UNITS: u32 = 512;
@@ -200,8 +200,8 @@
 
     fn granted(&mut self, seq: u64, endpoint: EndpointId, charged: u32, lead: u64) -> Received {
         let Some(request) = self.open.get_mut(&seq) else {
-            let ending = Ending::Unused;
-            return Received::Reply(ToDispatcher::Done { seq, units: 0, ending });
+            let completion = Completion::Unused;
+            return Received::Reply(ToDispatcher::Done { seq, units: 0, completion });
         };
         if request.phase != Phase::Waiting {
             return Received::Nothing;
@@ -248,9 +248,9 @@
     }
 
     /// A running request has ended.
-    pub fn finish(&mut self, seq: u64, units: u32, ending: Ending) -> Option<ToDispatcher> {
+    pub fn finish(&mut self, seq: u64, units: u32, completion: Completion) -> Option<ToDispatcher> {
         self.open.remove(&seq)?;
-        self.session.map(|_| ToDispatcher::Done { seq, units, ending })
+        self.session.map(|_| ToDispatcher::Done { seq, units, completion })
     }
 
     /// A waiting request is given up.
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -12,7 +12,7 @@
 use super::capacity::{Capacity, EndpointLoad};
 use super::estimate::{FairOrder, SlotRate};
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::wire::{Ending, GrantRequest, HostId, RefuseReason, ToDispatcher};
+use crate::wire::{Completion, GrantRequest, HostId, RefuseReason, ToDispatcher};
 
 /// A dispatcher not run for this long may have been replaced: it forgets.
 pub const THAW_MS: Millis = 1_000;
@@ -203,8 +203,8 @@
                 self.running(now, router, seq, customer, endpoint, units);
             }
             ToDispatcher::Progress { seq, units } => self.progress(router, seq, units),
-            ToDispatcher::Done { seq, units, ending } => {
-                self.done(now, router, seq, units, ending, &mut out);
+            ToDispatcher::Done { seq, units, completion } => {
+                self.done(now, router, seq, units, completion, &mut out);
             }
             ToDispatcher::Rest { endpoint, time_ms } => {
                 self.capacity.rest(now, router, endpoint, time_ms.into());
--- a/src/dispatch/dispatcher/service.rs
+++ b/src/dispatch/dispatcher/service.rs
@@ -1,8 +1,8 @@
 //! Who is served next, and what it is charged.
 
 use super::{
-    CustomerId, Decision, Dispatcher, Ending, EndpointId, Granted, HostId, Millis, VIRTUAL_SCALE,
-    Waited, Waiting,
+    Completion, CustomerId, Decision, Dispatcher, EndpointId, Granted, HostId, Millis,
+    VIRTUAL_SCALE, Waited, Waiting,
 };
 use crate::dispatch::account::blend;
 
@@ -108,7 +108,7 @@
         router: HostId,
         seq: u64,
         units: u32,
-        ending: Ending,
+        completion: Completion,
         out: &mut Vec<Decision>,
     ) {
         let Some(granted) = self.granted.remove(&(router, seq)) else {
@@ -116,10 +116,10 @@
         };
         self.capacity.release(router, granted.endpoint);
         self.settle(&granted, units);
-        match ending {
-            Ending::Answered => self.learn(now, router, &granted, units),
-            Ending::Unused => {}
-            Ending::Failed => {
+        match completion {
+            Completion::Answered => self.learn(now, router, &granted, units),
+            Completion::Unused => {}
+            Completion::Failed => {
                 let for_ms = self.capacity.failed(now, router, granted.endpoint);
                 let endpoint = granted.endpoint;
                 out.push(Decision::LeftOut { router, endpoint, for_ms });
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::config::{Config, CustomerId, EndpointId, HallId, HallSet, ServiceId};
-use crate::wire::{Ending, GrantRequest, HostId, RefuseReason, ToDispatcher};
+use crate::wire::{Completion, GrantRequest, HostId, RefuseReason, ToDispatcher};
 
 const ROUTER: HostId = HostId(1);
 
@@ -81,7 +81,7 @@
     }
 
     fn done(&mut self, seq: u64, units: u32) -> Vec<Decision> {
-        self.send(ToDispatcher::Done { seq, units, ending: Ending::Answered })
+        self.send(ToDispatcher::Done { seq, units, completion: Completion::Answered })
     }
 
     fn wait(&mut self, ms: Millis) -> Vec<Decision> {
@@ -283,8 +283,8 @@
 fn a_failing_endpoint_is_left_out_and_probed_back_in() {
     let mut bench = Bench::new(config(&[1], &[(0, 1), (0, 1)], 10));
     let first = grants(&bench.want(0, 1))[0];
-    let failed = Ending::Failed;
-    bench.send(ToDispatcher::Done { seq: first.1, units: 0, ending: failed });
+    let failed = Completion::Failed;
+    bench.send(ToDispatcher::Done { seq: first.1, units: 0, completion: failed });
     let second = grants(&bench.want(0, 1))[0];
     assert_ne!(second.2, first.2);
     bench.done(second.1, 1);
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use super::super::*;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::wire::{Ending, FromDispatcher, GrantRequest, HostId, ToDispatcher};
+use crate::wire::{Completion, FromDispatcher, GrantRequest, HostId, ToDispatcher};
 
 /// Milliseconds of one step.
 pub const STEP_MS: Millis = 10;
@@ -189,7 +189,7 @@
         state.running = running;
         for (seq, _, units, endpoint) in due {
             let state = &mut self.routers[router];
-            if let Some(message) = state.client.finish(seq, units, Ending::Answered) {
+            if let Some(message) = state.client.finish(seq, units, Completion::Answered) {
                 state.to.push_back(message);
             }
             *self.load.entry(endpoint).or_default() -= 1;
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -18,7 +18,7 @@
 use crate::peer::Peers;
 use crate::settings::DispatchMode;
 use crate::wire::{
-    BatchSender, BatchWriter, Ending, FromDispatcher, GrantRequest, Heartbeat, HostId, Open,
+    BatchSender, BatchWriter, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Open,
     Patient, RefuseReason, ToDispatcher,
 };
 
@@ -41,7 +41,7 @@
 enum Event {
     Submit { want: GrantRequest, verdict: oneshot::Sender<Verdict> },
     Progress { seq: u64, units: u32 },
-    Finish { seq: u64, units: u32, ending: Ending },
+    Finish { seq: u64, units: u32, completion: Completion },
     Cancel { seq: u64 },
     Rest { endpoint: EndpointId, time: Millis },
     Leaving { endpoint: EndpointId, leaves: bool },
@@ -124,9 +124,9 @@
     }
 
     /// The request has ended.
-    pub fn finish(mut self, units: u32, ending: Ending) {
+    pub fn finish(mut self, units: u32, completion: Completion) {
         self.open = false;
-        self.link.send(Event::Finish { seq: self.seq, units, ending });
+        self.link.send(Event::Finish { seq: self.seq, units, completion });
     }
 }
 
@@ -137,8 +137,8 @@
         }
         let (seq, units) = (self.seq, self.units);
         self.link.send(Event::Cancel { seq });
-        let ending = Ending::Unused;
-        self.link.send(Event::Finish { seq, units, ending });
+        let completion = Completion::Unused;
+        self.link.send(Event::Finish { seq, units, completion });
     }
 }
 
@@ -215,10 +215,10 @@
                 let message = self.client.progress(seq, units);
                 self.send(message);
             }
-            Event::Finish { seq, units, ending } => {
+            Event::Finish { seq, units, completion } => {
                 self.verdicts.remove(&seq);
                 self.learn_run(seq);
-                let message = self.client.finish(seq, units, ending);
+                let message = self.client.finish(seq, units, completion);
                 self.send(message);
             }
             Event::Cancel { seq } => {
@@ -310,7 +310,7 @@
         let taken = self.verdicts.remove(&seq).is_some_and(|v| v.send(verdict).is_ok());
         if !taken {
             self.granted_at.remove(&seq);
-            let message = self.client.finish(seq, 0, Ending::Unused);
+            let message = self.client.finish(seq, 0, Completion::Unused);
             self.send(message);
         }
     }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -25,7 +25,7 @@
 use crate::quarantine::Fingerprint;
 use crate::registry::EndpointStart;
 use crate::telemetry::RequestId;
-use crate::wire::{Ending, GrantRequest, RefuseReason};
+use crate::wire::{Completion, GrantRequest, RefuseReason};
 
 /// Time to come back after when nothing better is known, in milliseconds.
 const RETRY_MS: u32 = 1_000;
@@ -219,24 +219,24 @@
         if self.wants == 1
             && let Some(refused) = self.crashes_endpoints()
         {
-            ticket.finish(0, Ending::Unused);
+            ticket.finish(0, Completion::Unused);
             return Next::Finish(refused);
         }
         let declared = config.endpoints.get(&endpoint).filter(|_| self.router.takes_work(endpoint));
         let Some(declared) = declared else {
-            ticket.finish(0, Ending::Unused);
+            ticket.finish(0, Completion::Unused);
             return Next::Again { free: true, otherwise: refused() };
         };
         let address = declared.address.parse::<SocketAddr>().ok();
         let address = address.filter(|_| !self.router.peers.links.is_hall_cut(&declared.hall));
         let Some(address) = address else {
-            ticket.finish(0, Ending::Failed);
+            ticket.finish(0, Completion::Failed);
             return Next::Again { free: false, otherwise: refused() };
         };
         let claim = match once::claim(self).await {
             Ok(claim) => claim,
             Err(outcome) => {
-                ticket.finish(0, Ending::Unused);
+                ticket.finish(0, Completion::Unused);
                 return Next::Finish(outcome);
             }
         };
@@ -245,7 +245,7 @@
             if let Some(claim) = claim {
                 once::settle(&self.router, claim, &Attempt::NotSent).await;
             }
-            ticket.finish(0, Ending::Unused);
+            ticket.finish(0, Completion::Unused);
             return Next::Again { free: true, otherwise: refused() };
         }
         self.decide("delivery", format!("calls endpoint {}", declared.name));
@@ -261,7 +261,7 @@
             && let Some(rest) = notice.rest.time()
         {
             // It gets the rest that it asked for, and is not taken to have failed besides.
-            ticket.finish(0, Ending::Unused);
+            ticket.finish(0, Completion::Unused);
             let reason = NotRunReason::Refused(RefuseReason::EndpointsRest);
             return Next::Again { free: false, otherwise: Outcome::NotRun(reason, rest as u32) };
         }
@@ -270,7 +270,7 @@
                 self.router.guard.served(&self.fingerprint);
                 let units = self.units_of(&response, started);
                 self.count(units);
-                ticket.finish(units, Ending::Answered);
+                ticket.finish(units, Completion::Answered);
                 Next::Finish(Outcome::Answered(passed_on(response)))
             }
             Attempt::Answered(Answer::Stream(response)) => {
@@ -282,14 +282,14 @@
                 }
             }
             Attempt::NotSent | Attempt::Refused => {
-                ticket.finish(0, Ending::Failed);
+                ticket.finish(0, Completion::Failed);
                 Next::Again { free: false, otherwise: refused() }
             }
             Attempt::Unknown(reason) => {
                 if reason == UnknownReason::Broken {
                     self.lost_at(&declared.name, started.elapsed());
                 }
-                ticket.finish(0, Ending::Failed);
+                ticket.finish(0, Completion::Failed);
                 self.unknown(reason)
             }
         }
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -23,7 +23,7 @@
 use crate::delivery::{Answer, Attempt, Attempted, Call, UnknownReason, header};
 use crate::quarantine::Fingerprint;
 use crate::telemetry::RequestId;
-use crate::wire::Ending;
+use crate::wire::Completion;
 
 /// Silence after which a stream counts as broken.
 const STALL: Duration = Duration::from_secs(30);
@@ -231,7 +231,7 @@
 
     /// The event that tells the caller that the stream is not whole.
     fn give_up(&mut self, reason: &'static str) -> Bytes {
-        self.finish(Ending::Failed);
+        self.finish(Completion::Failed);
         let text = format!("stream {reason} after {} tokens", self.output);
         self.router.trace.decide(self.id, "delivery", text);
         let error = json!({"error": {"message": "the stream is not whole", "reason": reason},
@@ -249,18 +249,18 @@
 
     fn finish_whole(&mut self) {
         self.router.guard.served(&self.fingerprint);
-        self.finish(Ending::Answered);
+        self.finish(Completion::Answered);
     }
 
     fn fail(mut self, reason: UnknownReason) -> UnknownReason {
-        self.finish(Ending::Failed);
+        self.finish(Completion::Failed);
         reason
     }
 
-    fn finish(&mut self, ending: Ending) {
+    fn finish(&mut self, completion: Completion) {
         self.ended = true;
         if let Some(ticket) = self.ticket.take() {
-            ticket.finish(self.units(), ending);
+            ticket.finish(self.units(), completion);
             self.count();
         }
     }
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -201,7 +201,7 @@
 
 /// How a granted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum Completion {
     /// The endpoint answered.
     Answered,
     /// The endpoint could not be reached or broke off.
@@ -251,7 +251,7 @@
         /// Units used in all.
         units: u32,
         /// How it ended.
-        ending: Ending,
+        completion: Completion,
     },
     /// An endpoint asked this router for rest.
     Rest {
