--- a/src/control/tests/registrations.rs
+++ b/src/control/tests/registrations.rs
@@ -1,7 +1,7 @@
 //! What is taken in of what is said of endpoints.
 
 use crate::control::{Heard, judge};
-use crate::registry::{EndpointState, Hearing, Registration, Registry};
+use crate::registry::{EndpointState, Origin, Registration, Registry};
 use crate::routing::{Routing, RoutingTable, ServicePool};
 
 fn routing(services: &[&str]) -> Routing {
@@ -32,7 +32,7 @@
 
 fn known(service: &str, started_at_ms: u64) -> Registry {
     let mut registry = Registry::default();
-    registry.merge(said(service, started_at_ms), Hearing::FirstHand);
+    registry.merge(said(service, started_at_ms), Origin::Direct);
     registry
 }
 
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -17,7 +17,7 @@
 use crate::member::View;
 use crate::peer::PeerReader;
 use crate::quarantine::Quarantines;
-use crate::registry::Hearing;
+use crate::registry::Origin;
 use crate::rollout::{Grants, Rollouts};
 use crate::routing::Routing;
 use crate::wire::{HostId, KEEP_ALIVE, Role, SentBytes, Traffic, write_frame, write_keep_alive};
@@ -248,7 +248,7 @@
             }
             FeedRequest::EndpointsLeave(starts) => {
                 // As first hand: the other control hosts are told.
-                publication.followed.registry.leave(&starts, Hearing::FirstHand);
+                publication.followed.registry.leave(&starts, Origin::Direct);
                 None
             }
             FeedRequest::Speak { waking } => Some(FeedMessage::Speaks { waking }),
--- a/src/feed/sources.rs
+++ b/src/feed/sources.rs
@@ -62,7 +62,7 @@
         let scope = |host: &HostId| match (best.contains(host), self.role) {
             (true, _) => Some(Scope::All),
             // An endpoint calls one control host, and any may come to lead.
-            (false, Role::Control) => Some(Scope::FirstHand),
+            (false, Role::Control) => Some(Scope::Direct),
             (false, Role::Router) => None,
         };
         let wanted = self.open.keys().filter_map(|host| Some((*host, scope(host)?)));
--- a/src/feed/subscribe.rs
+++ b/src/feed/subscribe.rs
@@ -15,7 +15,7 @@
 use crate::dispatch::Millis;
 use crate::peer::Peers;
 use crate::quarantine::CrashReport;
-use crate::registry::{EndpointStart, Hearing, Scope};
+use crate::registry::{EndpointStart, Origin, Scope};
 use crate::rollout::Report;
 use crate::wire::{BatchSender, HostId, Role};
 
@@ -279,7 +279,7 @@
                 self.tables_changed.notify_one();
             }
             FeedMessage::Endpoints { numbering, upto, scope, endpoints } => {
-                self.followed.registry.merge(endpoints, Hearing::SecondHand);
+                self.followed.registry.merge(endpoints, Origin::Relayed);
                 lock(&self.told).insert((from, scope), (numbering, upto));
             }
             FeedMessage::DrainedHalls(drained) => self.followed.registry.adopt_drained(drained),
--- a/src/feed/tests/connection.rs
+++ b/src/feed/tests/connection.rs
@@ -6,7 +6,7 @@
 
 use super::super::{FeedMessage, Followed, Subscriptions, publish};
 use crate::peer::{Incoming, Peers};
-use crate::registry::{EndpointState, Hearing, Registration, Scope, SharedRegistry};
+use crate::registry::{EndpointState, Origin, Registration, Scope, SharedRegistry};
 use crate::routing::{Documents, RoutingTable};
 use crate::testing::{
     peer_address as address, publication_of_leader, route, start_peers as start, wait_until,
@@ -149,7 +149,7 @@
         sequence: 1,
         revivals: 0,
     };
-    registry.merge((0..endpoints).map(endpoint), Hearing::FirstHand);
+    registry.merge((0..endpoints).map(endpoint), Origin::Direct);
     Arc::new(registry)
 }
 
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -15,7 +15,7 @@
 use crate::error::{Result, RpcSnafu};
 use crate::feed::Neighbour;
 use crate::notice::{Notice, StartAt};
-use crate::registry::{EndpointStart, Hearing};
+use crate::registry::{EndpointStart, Origin};
 use crate::wire::{Open, write_frame};
 
 /// Bytes of a head that are looked at.
@@ -97,7 +97,7 @@
 }
 
 fn take_leaving(gateway: &Arc<Gateway>, told: &LeavingTold) {
-    gateway.registry.leave(&told.starts, Hearing::SecondHand);
+    gateway.registry.leave(&told.starts, Origin::Relayed);
     let now = gateway.now();
     let leaves = Notice { leaves: true, ..Notice::default() };
     for (start, address) in &told.heard {
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -10,7 +10,7 @@
 use crate::dispatch::Millis;
 use crate::notice::{Notice, RestAsked};
 use crate::placement::StartOf;
-use crate::registry::{EndpointStart, Hearing, Registration};
+use crate::registry::{EndpointStart, Origin, Registration};
 
 impl Call {
     /// Takes in what the head of an answer says of its endpoint, whatever became of the
@@ -104,7 +104,7 @@
     /// hears, and its answers are the only news.
     fn leaves(&self, start: EndpointStart) {
         let starts = [start];
-        if self.registry.leave(&starts, Hearing::SecondHand) {
+        if self.registry.leave(&starts, Origin::Relayed) {
             log::info!("gateway: endpoint {} says in an answer that it leaves", starts[0].id);
             self.feeds.report_leaving(&starts);
         }
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -15,7 +15,7 @@
 use super::*;
 use crate::clock::BootInstant;
 use crate::quarantine::Fingerprint;
-use crate::registry::Hearing;
+use crate::registry::Origin;
 use crate::rollout::{Grant, Grants, Order, Release, Report, Rollouts, Stage, Step};
 use crate::settings::{GatewaySettings, HostSettings, RouterSettings};
 use crate::testing::{peer_address, route, start_peers};
@@ -97,7 +97,7 @@
             ..endpoint(id)
         };
         let endpoints = [of("new", "v2", new), of("old", "v1", old)];
-        gateway.registry.merge(endpoints, Hearing::SecondHand);
+        gateway.registry.merge(endpoints, Origin::Relayed);
         let mut rollouts = Rollouts::default();
         rollouts.start(Order {
             service: "app".into(),
@@ -188,7 +188,7 @@
     assert_eq!((new.served(), old.served()), (0, 50));
     // Where no endpoint of another release takes work, callers are served even so.
     let gone = Registration { state: EndpointState::Leaving, sequence: 2, ..endpoint("old") };
-    fleet.gateway.registry.merge([gone], Hearing::SecondHand);
+    fleet.gateway.registry.merge([gone], Origin::Relayed);
     assert_eq!(run(fleet.call()).await.status(), StatusCode::OK);
     // But not what was found bad.
     fleet.step(Stage::RolledBack);
--- a/src/quarantine/tests/starts.rs
+++ b/src/quarantine/tests/starts.rs
@@ -1,7 +1,7 @@
 //! Endpoints that crash and answer again before anybody knows that they started again.
 
 use super::*;
-use crate::registry::{EndpointState, Hearing, Registration, Registry, Scope};
+use crate::registry::{EndpointState, Origin, Registration, Registry, Scope};
 
 const ROUTER: HostId = HostId(1);
 const OTHER: HostId = HostId(2);
@@ -102,13 +102,13 @@
         seen = changes.upto;
         known.news(&changes.endpoints)
     };
-    registry.merge(said(1, EndpointState::Ready), Hearing::FirstHand);
+    registry.merge(said(1, EndpointState::Ready), Origin::Direct);
     assert_eq!(news(&registry), [StartNews::Started(of(1, 1))]);
-    registry.merge(said(1, EndpointState::Leaving), Hearing::FirstHand);
+    registry.merge(said(1, EndpointState::Leaving), Origin::Direct);
     assert_eq!(news(&registry), []);
-    registry.merge(said(2, EndpointState::Ready), Hearing::FirstHand);
+    registry.merge(said(2, EndpointState::Ready), Origin::Direct);
     assert_eq!(news(&registry), [StartNews::Started(of(1, 2))]);
-    registry.merge(Registration::gone("e-1"), Hearing::FirstHand);
+    registry.merge(Registration::gone("e-1"), Origin::Direct);
     assert_eq!(news(&registry), [StartNews::Gone("e-1".into())]);
     assert_eq!(news(&registry), []);
 }
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -19,4 +19,4 @@
 pub use retired::{Releases, Retired};
 pub use shared::SharedRegistry;
 pub use start::EndpointStart;
-pub use table::{Changes, EndpointState, Hearing, Registration, Registry, Scope};
+pub use table::{Changes, EndpointState, Origin, Registration, Registry, Scope};
--- a/src/registry/known.rs
+++ b/src/registry/known.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-use super::{EndpointState, Hearing, Registration};
+use super::{EndpointState, Origin, Registration};
 
 /// Milliseconds for which an endpoint counts as cold after its data hall was taken back:
 /// two of its heartbeats, which come every 1.2 s on the platform.
@@ -30,7 +30,7 @@
     /// Number of the change that was its last.
     pub change: u64,
     /// Whether the endpoint itself said that change here.
-    pub first_hand: bool,
+    pub direct: bool,
     /// Before this call nothing that it says of being warm is believed: it may have
     /// been under way since before its data hall was taken back.
     sure_from: u64,
@@ -44,13 +44,13 @@
 
 impl Known {
     /// An endpoint of which nothing was known.
-    pub fn new(said: Registration, first_hand: bool) -> Known {
+    pub fn new(said: Registration, direct: bool) -> Known {
         let leaves = said.state == EndpointState::Leaving;
-        let ended_for_good = first_hand && names_its_end(&said);
+        let ended_for_good = direct && names_its_end(&said);
         Known {
             said,
             change: 0,
-            first_hand,
+            direct,
             sure_from: 0,
             first_since_end: None,
             leaves,
@@ -60,11 +60,11 @@
 
     /// Takes news in. Of two starts the later one counts, and nothing of the earlier one
     /// is kept; returns whether it is a later start.
-    pub fn hear(&mut self, news: Registration, hearing: Hearing) -> bool {
+    pub fn hear(&mut self, news: Registration, origin: Origin) -> bool {
         if is_bare_end(&self.said) && !is_bare_end(&news) {
-            return self.hear_behind_bare_end(news, hearing);
+            return self.hear_behind_bare_end(news, origin);
         }
-        if is_bare_end(&news) && self.said.revivals > 0 && hearing == Hearing::SecondHand {
+        if is_bare_end(&news) && self.said.revivals > 0 && origin == Origin::Relayed {
             // The start has gone on since.
             return false;
         }
@@ -72,11 +72,11 @@
         match order.then(news.revivals.cmp(&self.said.revivals)) {
             Ordering::Less => false,
             Ordering::Equal => {
-                self.hear_of_this_start(news, hearing);
+                self.hear_of_this_start(news, origin);
                 false
             }
             Ordering::Greater if order.is_gt() => {
-                self.replace(news, hearing);
+                self.replace(news, origin);
                 true
             }
             Ordering::Greater => {
@@ -86,29 +86,29 @@
         }
     }
 
-    fn replace(&mut self, news: Registration, hearing: Hearing) {
+    fn replace(&mut self, news: Registration, origin: Origin) {
         let change = self.change;
-        *self = Known { change, ..Known::new(news, hearing == Hearing::FirstHand) };
+        *self = Known { change, ..Known::new(news, origin == Origin::Direct) };
     }
 
     /// Only an end is known, with the latest start that it may have been of.
-    fn hear_behind_bare_end(&mut self, news: Registration, hearing: Hearing) -> bool {
+    fn hear_behind_bare_end(&mut self, news: Registration, origin: Origin) -> bool {
         if news.started_at_ms > self.said.started_at_ms || news.revivals > self.said.revivals {
-            self.replace(news, hearing);
+            self.replace(news, origin);
             return true;
         }
-        if hearing == Hearing::FirstHand && news.state != EndpointState::Gone {
+        if origin == Origin::Direct && news.state != EndpointState::Gone {
             self.hear_after_end(news);
         }
         false
     }
 
-    fn hear_of_this_start(&mut self, news: Registration, hearing: Hearing) {
-        let first_hand = hearing == Hearing::FirstHand;
+    fn hear_of_this_start(&mut self, news: Registration, origin: Origin) {
+        let direct = origin == Origin::Direct;
         self.leaves |= news.state == EndpointState::Leaving;
-        self.ended_for_good |= first_hand && names_its_end(&news);
+        self.ended_for_good |= direct && names_its_end(&news);
         if self.said.state == EndpointState::Gone {
-            if first_hand && news.state != EndpointState::Gone {
+            if direct && news.state != EndpointState::Gone {
                 self.hear_after_end(news);
             }
             return;
@@ -154,7 +154,7 @@
     /// It takes no more work since a roll-out ended.
     pub fn retire(&mut self, state: EndpointState) {
         self.said.state = state;
-        self.first_hand = false;
+        self.direct = false;
         self.ended_for_good = true;
     }
 
--- a/src/registry/shared.rs
+++ b/src/registry/shared.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 use super::known::RESTORED_WARMUP_MS;
-use super::{DrainedHalls, EndpointStart, Hearing, Registration, Registry, Retired};
+use super::{DrainedHalls, EndpointStart, Origin, Registration, Registry, Retired};
 
 /// Endpoints that a log line about many names at most.
 const MOST_NAMED: usize = 8;
@@ -32,9 +32,9 @@
 
 impl SharedRegistry {
     /// Takes in what endpoints said; tells listeners if something differs now.
-    pub fn merge(&self, news: impl IntoIterator<Item = Registration>, hearing: Hearing) {
+    pub fn merge(&self, news: impl IntoIterator<Item = Registration>, origin: Origin) {
         let changed: Vec<_> = self.read_mut(|registry| {
-            news.into_iter().filter_map(|endpoint| registry.merge(endpoint, hearing)).collect()
+            news.into_iter().filter_map(|endpoint| registry.merge(endpoint, origin)).collect()
         });
         log_changed(&changed);
     }
@@ -42,16 +42,16 @@
     /// Takes in what an endpoint said here, if that may be by what is known at that moment.
     pub fn merge_if(&self, news: Registration, may_be: impl FnOnce(&Registry) -> bool) {
         let changed = self.read_mut(|registry| {
-            may_be(registry).then(|| registry.merge(news, Hearing::FirstHand)).flatten()
+            may_be(registry).then(|| registry.merge(news, Origin::Direct)).flatten()
         });
         log_changed(changed.as_slice());
     }
 
     /// Starts of endpoints were heard to leave by other words than a registration. Returns
     /// whether any was known to take work.
-    pub fn leave(&self, starts: &[EndpointStart], hearing: Hearing) -> bool {
+    pub fn leave(&self, starts: &[EndpointStart], origin: Origin) -> bool {
         let changed: Vec<_> = self.read_mut(|registry| {
-            starts.iter().filter_map(|start| registry.leaves(start, hearing)).collect()
+            starts.iter().filter_map(|start| registry.leaves(start, origin)).collect()
         });
         log_changed(&changed);
         !changed.is_empty()
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -84,11 +84,11 @@
 
 /// From whom news of an endpoint came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hearing {
+pub enum Origin {
     /// The endpoint called here.
-    FirstHand,
+    Direct,
     /// Another process passed it on.
-    SecondHand,
+    Relayed,
 }
 
 /// Which changes a listener wants.
@@ -98,7 +98,7 @@
     #[default]
     All,
     /// Those that endpoints themselves said here.
-    FirstHand,
+    Direct,
 }
 
 /// Endpoints that changed, in the order of their last changes.
@@ -131,9 +131,9 @@
 impl Registry {
     /// Takes in what an endpoint said, directly or through another process.
     /// Returns what is known now if it differs in what routing looks at.
-    pub fn merge(&mut self, mut news: Registration, hearing: Hearing) -> Option<Registration> {
-        let first_hand = hearing == Hearing::FirstHand;
-        if first_hand && let Some(known) = self.get(&news.id) {
+    pub fn merge(&mut self, mut news: Registration, origin: Origin) -> Option<Registration> {
+        let direct = origin == Origin::Direct;
+        if direct && let Some(known) = self.get(&news.id) {
             if news.address.is_none() {
                 // Who says only that it ends is taken to mean the start that is known.
                 news.started_at_ms = known.started_at_ms;
@@ -147,7 +147,7 @@
         }
         let is_doubtful = self.just_restored.contains(&news.hall);
         let Some(known) = self.endpoints.get_mut(&news.id) else {
-            let mut known = Known::new(news, first_hand);
+            let mut known = Known::new(news, direct);
             if is_doubtful {
                 known.doubt();
             }
@@ -156,14 +156,14 @@
             return Some(self.changed(now));
         };
         let before = known.said.clone();
-        if known.hear(news, hearing) && is_doubtful {
+        if known.hear(news, origin) && is_doubtful {
             known.doubt();
         }
         let now = known.said.clone();
         if !now.differs_from(&before) {
             return None;
         }
-        known.first_hand = first_hand;
+        known.direct = direct;
         if before.state == EndpointState::Gone {
             self.gone.retain(|id| *id != now.id);
         }
@@ -172,14 +172,14 @@
 
     /// One start of an endpoint was heard to leave by other words than a registration.
     /// Returns what is known now, if this start was known to take work.
-    pub fn leaves(&mut self, start: &EndpointStart, hearing: Hearing) -> Option<Registration> {
+    pub fn leaves(&mut self, start: &EndpointStart, origin: Origin) -> Option<Registration> {
         let known = self.get(&start.id)?;
         let is_meant = known.started_at_ms == start.started_at_ms;
         if !is_meant || known.state != EndpointState::Ready {
             return None;
         }
         let leaving = Registration { state: EndpointState::Leaving, ..known.clone() };
-        self.merge(leaving, hearing)
+        self.merge(leaving, origin)
     }
 
     /// At most so many endpoints that leave.
@@ -262,7 +262,7 @@
                 break;
             }
             changes.upto = *number;
-            let known = self.endpoints.get(id).filter(|k| k.first_hand || scope == Scope::All);
+            let known = self.endpoints.get(id).filter(|k| k.direct || scope == Scope::All);
             changes.endpoints.extend(known.map(|known| known.said.clone()));
         }
         changes
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use super::Hearing::{FirstHand, SecondHand};
+use super::Origin::{Direct, Relayed};
 use super::*;
 
 fn said(id: &str, sequence: u64, state: EndpointState) -> Registration {
@@ -26,38 +26,38 @@
 #[test]
 fn a_late_heartbeat_does_not_bring_a_leaving_endpoint_back() {
     let mut registry = Registry::default();
-    assert!(registry.merge(said("e", 3, EndpointState::Ready), FirstHand).is_some());
-    assert!(registry.merge(said("e", 5, EndpointState::Leaving), FirstHand).is_some());
-    assert!(registry.merge(said("e", 4, EndpointState::Ready), FirstHand).is_none());
-    assert!(registry.merge(said("e", 9, EndpointState::Ready), FirstHand).is_none());
+    assert!(registry.merge(said("e", 3, EndpointState::Ready), Direct).is_some());
+    assert!(registry.merge(said("e", 5, EndpointState::Leaving), Direct).is_some());
+    assert!(registry.merge(said("e", 4, EndpointState::Ready), Direct).is_none());
+    assert!(registry.merge(said("e", 9, EndpointState::Ready), Direct).is_none());
     assert_eq!(registry.ready("llm").count(), 0);
 }
 
 #[test]
 fn an_endpoint_that_is_gone_never_returns() {
     let mut registry = Registry::default();
-    registry.merge(Registration::gone("e"), FirstHand);
-    assert!(registry.merge(said("e", 9, EndpointState::Ready), FirstHand).is_none());
+    registry.merge(Registration::gone("e"), Direct);
+    assert!(registry.merge(said("e", 9, EndpointState::Ready), Direct).is_none());
     assert_eq!(registry.get("e").unwrap().state, EndpointState::Gone);
 }
 
 #[test]
 fn heartbeats_that_change_nothing_are_not_passed_on() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 1, EndpointState::Ready), FirstHand);
-    assert!(registry.merge(said("e", 2, EndpointState::Ready), FirstHand).is_none());
+    registry.merge(said("e", 1, EndpointState::Ready), Direct);
+    assert!(registry.merge(said("e", 2, EndpointState::Ready), Direct).is_none());
     let moved = Registration { slots: 32, ..said("e", 3, EndpointState::Ready) };
-    assert_eq!(registry.merge(moved, FirstHand).unwrap().slots, 32);
+    assert_eq!(registry.merge(moved, Direct).unwrap().slots, 32);
 }
 
 #[test]
 fn another_release_or_data_hall_of_an_endpoint_is_passed_on() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 1, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 1, EndpointState::Ready), Direct);
     let released = Registration { version: "v2".into(), ..said("e", 2, EndpointState::Ready) };
-    assert_eq!(registry.merge(released.clone(), FirstHand), Some(released.clone()));
+    assert_eq!(registry.merge(released.clone(), Direct), Some(released.clone()));
     let moved = Registration { hall: "b".into(), sequence: 3, ..released };
-    assert_eq!(registry.merge(moved.clone(), FirstHand), Some(moved));
+    assert_eq!(registry.merge(moved.clone(), Direct), Some(moved));
 }
 
 fn any_registration() -> impl Strategy<Value = Registration> {
@@ -85,7 +85,7 @@
         let learn = |news: Vec<Registration>| {
             let mut registry = Registry::default();
             for said in news {
-                registry.merge(said, FirstHand);
+                registry.merge(said, Direct);
             }
             let slots = |r: &Registration| (r.state != EndpointState::Gone).then_some(r.slots);
             let state = |r: &Registration| (r.id.clone(), r.started_at_ms, r.state, slots(r));
@@ -98,12 +98,12 @@
 #[test]
 fn what_is_remembered_counts_until_it_speaks_or_is_forgotten() {
     let mut registry = Registry::default();
-    registry.merge(said("left", 3, EndpointState::Leaving), FirstHand);
+    registry.merge(said("left", 3, EndpointState::Leaving), Direct);
     let remembered = ["left", "quiet", "back", "leaving"];
     registry.remember(remembered.map(|id| said(id, 2, EndpointState::Ready)).into());
     assert_eq!(registry.ready("llm").count(), 3, "one had said that it leaves");
-    assert!(registry.merge(said("back", 3, EndpointState::Ready), FirstHand).is_some());
-    assert!(registry.merge(said("leaving", 3, EndpointState::Leaving), FirstHand).is_some());
+    assert!(registry.merge(said("back", 3, EndpointState::Ready), Direct).is_some());
+    assert!(registry.merge(said("leaving", 3, EndpointState::Leaving), Direct).is_some());
     assert_eq!(registry.ready("llm").count(), 2);
     assert_eq!(registry.get("quiet").unwrap().sequence, 2);
     assert_eq!(registry.forget_remembered(), 1);
@@ -147,15 +147,15 @@
 #[test]
 fn endpoints_of_a_drained_hall_get_no_new_work() {
     let mut registry = Registry::default();
-    registry.merge(said("a1", 1, EndpointState::Ready), FirstHand);
+    registry.merge(said("a1", 1, EndpointState::Ready), Direct);
     registry
-        .merge(Registration { hall: "b".into(), ..said("b1", 1, EndpointState::Ready) }, FirstHand);
+        .merge(Registration { hall: "b".into(), ..said("b1", 1, EndpointState::Ready) }, Direct);
     assert!(registry.adopt_drained(drained(&["a"])));
     let ready: Vec<_> = registry.ready("llm").map(|r| r.id.as_str()).collect();
     assert_eq!(ready, ["b1"]);
     assert!(registry.get_ready("a1").is_none());
     assert!(registry.get("a1").is_some(), "what runs there ends there");
-    registry.merge(said("a2", 1, EndpointState::Ready), FirstHand);
+    registry.merge(said("a2", 1, EndpointState::Ready), Direct);
     assert!(registry.get_ready("a2").is_none(), "nor those that come later");
 }
 
@@ -181,17 +181,17 @@
 #[test]
 fn endpoints_of_a_hall_taken_back_count_as_cold_until_they_say_twice_that_they_are_not() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 7, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 7, EndpointState::Ready), Direct);
     let mut halls = drained(&["a"]);
     registry.adopt_drained(halls.clone());
     halls.restore("a");
     registry.adopt_drained(halls);
     assert!(registry.get("e").unwrap().warmup_ms > 0);
     // The first may have been sent before it turned cold.
-    registry.merge(said("e", 8, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 8, EndpointState::Ready), Direct);
     assert!(registry.get("e").unwrap().warmup_ms > 0);
     assert!(
-        registry.merge(said("e", 9, EndpointState::Ready), FirstHand).is_some(),
+        registry.merge(said("e", 9, EndpointState::Ready), Direct).is_some(),
         "others hear of it"
     );
     assert_eq!(registry.get("e").unwrap().warmup_ms, 0);
@@ -204,10 +204,10 @@
         warmup_ms,
         ..said("e", sequence, EndpointState::Ready)
     };
-    registry.merge(cold(1, 900), FirstHand);
-    assert!(registry.merge(cold(2, 300), FirstHand).is_none());
-    assert!(registry.merge(cold(3, 3_000), FirstHand).is_some(), "it starts anew");
-    assert!(registry.merge(cold(4, 0), FirstHand).is_some());
+    registry.merge(cold(1, 900), Direct);
+    assert!(registry.merge(cold(2, 300), Direct).is_none());
+    assert!(registry.merge(cold(3, 3_000), Direct).is_some(), "it starts anew");
+    assert!(registry.merge(cold(4, 0), Direct).is_some());
 }
 
 /// A listener that reads a part now and then ends with what the registry knows, however
@@ -219,8 +219,7 @@
         for id in 0..50 {
             let slots = round as u32;
             let state = EndpointState::Ready;
-            registry
-                .merge(Registration { slots, ..said(&id.to_string(), round, state) }, FirstHand);
+            registry.merge(Registration { slots, ..said(&id.to_string(), round, state) }, Direct);
         }
     }
     assert_eq!(registry.last_change(), 5_000);
@@ -240,18 +239,18 @@
 #[test]
 fn who_wants_first_hand_news_is_not_told_what_others_passed_on() {
     let mut registry = Registry::default();
-    registry.merge(said("here", 1, EndpointState::Ready), FirstHand);
-    registry.merge(said("elsewhere", 1, EndpointState::Ready), SecondHand);
+    registry.merge(said("here", 1, EndpointState::Ready), Direct);
+    registry.merge(said("elsewhere", 1, EndpointState::Ready), Relayed);
     let ids = |registry: &Registry, scope| {
         let changes = registry.changes_after(0, 10, scope);
         assert_eq!(changes.upto, registry.last_change());
         changes.endpoints.into_iter().map(|e| e.id).collect::<Vec<_>>()
     };
     assert_eq!(ids(&registry, Scope::All), ["here", "elsewhere"]);
-    assert_eq!(ids(&registry, Scope::FirstHand), ["here"]);
+    assert_eq!(ids(&registry, Scope::Direct), ["here"]);
     // It calls here the next time.
-    registry.merge(said("elsewhere", 2, EndpointState::Leaving), FirstHand);
-    assert_eq!(ids(&registry, Scope::FirstHand), ["here", "elsewhere"]);
+    registry.merge(said("elsewhere", 2, EndpointState::Leaving), Direct);
+    assert_eq!(ids(&registry, Scope::Direct), ["here", "elsewhere"]);
 }
 
 fn of_release(id: &str, version: &str, started_at_ms: u64) -> Registration {
@@ -271,17 +270,17 @@
 fn endpoints_of_other_releases_are_retired_and_later_ones_are_not() {
     let mut registry = Registry::default();
     for endpoint in [of_release("old", "v1", 100), of_release("new", "v2", 900)] {
-        registry.merge(endpoint, FirstHand);
+        registry.merge(endpoint, Direct);
     }
     let other = Registration { service: "app".into(), ..of_release("app", "v1", 100) };
-    registry.merge(other, FirstHand);
+    registry.merge(other, Direct);
     let before = registry.last_change();
     assert_eq!(registry.retire(ended(Releases::AllBut("v2"), true)), 1);
     assert_eq!(registry.changes_after(before, 9, Scope::All).endpoints[0].id, "old");
     // A heartbeat that was under way does not bring it back.
-    registry.merge(Registration { sequence: 9, ..of_release("old", "v1", 100) }, FirstHand);
+    registry.merge(Registration { sequence: 9, ..of_release("old", "v1", 100) }, Direct);
     // An ordinary replacement brings the next release later.
-    registry.merge(of_release("next", "v3", 1_500), FirstHand);
+    registry.merge(of_release("next", "v3", 1_500), Direct);
     assert_eq!(ready_ids(&registry), ["new", "next"]);
     assert_eq!(registry.ready("app").count(), 1);
 }
@@ -292,7 +291,7 @@
     let mut registry = Registry::default();
     registry.remember(vec![of_release("a", "v1", 100), of_release("b", "v3", 1_500)]);
     for endpoint in [of_release("next", "v3", 1_500), of_release("silent", "v3", 0)] {
-        registry.merge(endpoint, FirstHand);
+        registry.merge(endpoint, Direct);
     }
     assert_eq!(registry.retire(ended(Releases::AllBut("v2"), false)), 1);
     assert_eq!(ready_ids(&registry), ["next", "silent", "b"]);
@@ -303,13 +302,13 @@
 fn endpoints_of_a_release_that_was_rolled_back_get_nothing_more_until_they_start_again() {
     let mut registry = Registry::default();
     for endpoint in [of_release("old", "v1", 100), of_release("bad", "v2", 900)] {
-        registry.merge(endpoint, FirstHand);
+        registry.merge(endpoint, Direct);
     }
     assert_eq!(registry.retire(ended(Releases::Only("v2"), true)), 1);
-    registry.merge(Registration { sequence: 9, ..of_release("bad", "v2", 900) }, FirstHand);
+    registry.merge(Registration { sequence: 9, ..of_release("bad", "v2", 900) }, Direct);
     assert_eq!(ready_ids(&registry), ["old"]);
     assert_eq!(registry.get("bad").unwrap().state, EndpointState::Leaving);
     // It leaves as any other, and comes back when it starts again.
-    registry.merge(of_release("bad", "v2", 2_000), FirstHand);
+    registry.merge(of_release("bad", "v2", 2_000), Direct);
     assert_eq!(ready_ids(&registry), ["bad", "old"]);
 }
--- a/src/registry/tests/halls.rs
+++ b/src/registry/tests/halls.rs
@@ -16,7 +16,7 @@
 #[test]
 fn endpoints_count_as_cold_where_both_orders_are_learnt_at_once() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 7, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 7, EndpointState::Ready), Direct);
     assert!(registry.adopt_drained(taken_back()));
     assert!(is_cold(&registry), "a host just started never saw the hall drained");
 }
@@ -37,11 +37,11 @@
     let mut registry = Registry::default();
     registry.adopt_drained(drained(&["a"]));
     registry.adopt_drained(taken_back());
-    registry.merge(said("e", 7, EndpointState::Ready), SecondHand);
+    registry.merge(said("e", 7, EndpointState::Ready), Relayed);
     assert!(is_cold(&registry));
-    registry.merge(said("e", 8, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 8, EndpointState::Ready), Direct);
     assert!(is_cold(&registry), "it may have been sent before");
-    registry.merge(said("e", 9, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 9, EndpointState::Ready), Direct);
     assert!(!is_cold(&registry), "it has said so twice");
 }
 
@@ -51,7 +51,7 @@
     registry.adopt_drained(drained(&["a"]));
     registry.adopt_drained(taken_back());
     registry.forget_restored(taken_back().revision());
-    registry.merge(said("e", 7, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 7, EndpointState::Ready), Direct);
     assert!(!is_cold(&registry));
 }
 
@@ -64,14 +64,14 @@
     halls.restore("a");
     registry.adopt_drained(halls);
     registry.forget_restored(taken_back().revision());
-    registry.merge(said("e", 7, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", 7, EndpointState::Ready), Direct);
     assert!(is_cold(&registry));
 }
 
 #[test]
 fn the_highest_number_of_a_call_does_not_overflow_when_its_hall_is_taken_back() {
     let mut registry = Registry::default();
-    registry.merge(said("e", u64::MAX, EndpointState::Ready), FirstHand);
+    registry.merge(said("e", u64::MAX, EndpointState::Ready), Direct);
     registry.adopt_drained(taken_back());
     assert!(is_cold(&registry));
 }
--- a/src/registry/tests/starts.rs
+++ b/src/registry/tests/starts.rs
@@ -14,9 +14,9 @@
 fn a_later_start_takes_work_whatever_the_earlier_one_said() {
     for end in [EndpointState::Ready, EndpointState::Leaving, EndpointState::Gone] {
         let mut registry = Registry::default();
-        registry.merge(started(1_000, 50, EndpointState::Ready), FirstHand);
-        registry.merge(started(1_000, 60, end), FirstHand);
-        let again = registry.merge(started(2_000, 1, EndpointState::Ready), FirstHand);
+        registry.merge(started(1_000, 50, EndpointState::Ready), Direct);
+        registry.merge(started(1_000, 60, end), Direct);
+        let again = registry.merge(started(2_000, 1, EndpointState::Ready), Direct);
         assert!(again.is_some(), "others hear of it after {end:?}");
         assert_eq!(ready(&registry), Some((2_000, 1)));
     }
@@ -25,10 +25,10 @@
 #[test]
 fn a_late_heartbeat_of_an_earlier_start_changes_nothing() {
     let mut registry = Registry::default();
-    registry.merge(started(2_000, 1, EndpointState::Ready), FirstHand);
+    registry.merge(started(2_000, 1, EndpointState::Ready), Direct);
     for state in [EndpointState::Ready, EndpointState::Leaving, EndpointState::Gone] {
-        assert_eq!(registry.merge(started(1_000, 90, state), FirstHand), None);
-        assert_eq!(registry.merge(started(1_000, 91, state), SecondHand), None);
+        assert_eq!(registry.merge(started(1_000, 90, state), Direct), None);
+        assert_eq!(registry.merge(started(1_000, 91, state), Relayed), None);
     }
     assert_eq!(ready(&registry), Some((2_000, 1)));
 }
@@ -36,12 +36,12 @@
 #[test]
 fn an_end_without_a_start_ends_the_one_that_is_known() {
     let mut registry = Registry::default();
-    registry.merge(started(1_000, 5, EndpointState::Ready), FirstHand);
+    registry.merge(started(1_000, 5, EndpointState::Ready), Direct);
     let end = Registration { started_at_ms: 1_500, ..Registration::gone("e") };
-    let gone = registry.merge(end, FirstHand).expect("others hear of it");
+    let gone = registry.merge(end, Direct).expect("others hear of it");
     assert_eq!((gone.started_at_ms, gone.state), (1_000, EndpointState::Gone));
-    assert_eq!(registry.merge(started(1_000, 6, EndpointState::Ready), FirstHand), None);
-    registry.merge(started(1_200, 1, EndpointState::Ready), FirstHand);
+    assert_eq!(registry.merge(started(1_000, 6, EndpointState::Ready), Direct), None);
+    registry.merge(started(1_200, 1, EndpointState::Ready), Direct);
     assert_eq!(ready(&registry), Some((1_200, 1)), "it started before the end was heard");
 }
 
@@ -49,30 +49,30 @@
 fn an_end_of_which_no_start_is_known_ends_all_up_to_it() {
     let mut registry = Registry::default();
     let end = Registration { started_at_ms: 1_500, ..Registration::gone("e") };
-    registry.merge(end.clone(), FirstHand);
-    assert_eq!(registry.merge(started(1_400, 9, EndpointState::Ready), FirstHand), None);
-    registry.merge(started(1_600, 1, EndpointState::Ready), FirstHand);
+    registry.merge(end.clone(), Direct);
+    assert_eq!(registry.merge(started(1_400, 9, EndpointState::Ready), Direct), None);
+    registry.merge(started(1_600, 1, EndpointState::Ready), Direct);
     assert_eq!(ready(&registry), Some((1_600, 1)));
     // Another process passes the end on late.
-    assert_eq!(registry.merge(end, SecondHand), None);
+    assert_eq!(registry.merge(end, Relayed), None);
     assert_eq!(ready(&registry), Some((1_600, 1)));
 }
 
 #[test]
 fn a_new_start_is_as_cold_as_it_says() {
     let mut registry = Registry::default();
-    registry.merge(started(1_000, 7, EndpointState::Ready), FirstHand);
+    registry.merge(started(1_000, 7, EndpointState::Ready), Direct);
     let mut halls = drained(&["a"]);
     registry.adopt_drained(halls.clone());
     halls.restore("a");
     registry.adopt_drained(halls.clone());
     registry.forget_restored(halls.revision());
     assert!(registry.get("e").unwrap().warmup_ms > 0);
-    registry.merge(started(2_000, 1, EndpointState::Ready), FirstHand);
+    registry.merge(started(2_000, 1, EndpointState::Ready), Direct);
     assert_eq!(registry.get("e").unwrap().warmup_ms, 0);
     let cold = Registration { warmup_ms: 900, ..started(3_000, 1, EndpointState::Ready) };
-    registry.merge(cold, FirstHand);
-    registry.merge(started(3_000, 2, EndpointState::Ready), FirstHand);
+    registry.merge(cold, Direct);
+    registry.merge(started(3_000, 2, EndpointState::Ready), Direct);
     assert_eq!(registry.get("e").unwrap().warmup_ms, 0, "it says so itself");
 }
 
@@ -81,11 +81,11 @@
     let mut registry = Registry::default();
     registry.remember(vec![started(2_000, 4, EndpointState::Ready)]);
     registry.remember(vec![started(1_000, 90, EndpointState::Ready)]);
-    assert_eq!(registry.merge(started(1_000, 91, EndpointState::Leaving), FirstHand), None);
+    assert_eq!(registry.merge(started(1_000, 91, EndpointState::Leaving), Direct), None);
     assert_eq!(ready(&registry), Some((2_000, 4)));
-    registry.merge(Registration { started_at_ms: 9_000, ..Registration::gone("e") }, FirstHand);
+    registry.merge(Registration { started_at_ms: 9_000, ..Registration::gone("e") }, Direct);
     assert_eq!(ready(&registry), None);
-    registry.merge(started(3_000, 1, EndpointState::Ready), FirstHand);
+    registry.merge(started(3_000, 1, EndpointState::Ready), Direct);
     assert_eq!(ready(&registry), Some((3_000, 1)));
 }
 
@@ -93,10 +93,10 @@
 #[test]
 fn an_endpoint_that_started_again_is_not_forgotten_with_those_that_are_gone() {
     let mut registry = Registry::default();
-    registry.merge(started(1_000, 1, EndpointState::Gone), FirstHand);
-    registry.merge(started(2_000, 1, EndpointState::Ready), FirstHand);
+    registry.merge(started(1_000, 1, EndpointState::Gone), Direct);
+    registry.merge(started(2_000, 1, EndpointState::Ready), Direct);
     for number in 0..5_000 {
-        registry.merge(Registration::gone(&format!("other{number}")), FirstHand);
+        registry.merge(Registration::gone(&format!("other{number}")), Direct);
     }
     assert_eq!(ready(&registry), Some((2_000, 1)));
 }
@@ -116,34 +116,34 @@
     let mut here = Registry::default();
     let mut elsewhere = Registry::default();
     for sequence in 1..=3 {
-        here.merge(started(2_000, sequence, EndpointState::Ready), FirstHand);
+        here.merge(started(2_000, sequence, EndpointState::Ready), Direct);
     }
-    let gone = here.merge(Registration::gone("e"), FirstHand).unwrap();
-    elsewhere.merge(started(2_000, 2, EndpointState::Ready), SecondHand);
-    elsewhere.merge(gone, SecondHand);
+    let gone = here.merge(Registration::gone("e"), Direct).unwrap();
+    elsewhere.merge(started(2_000, 2, EndpointState::Ready), Relayed);
+    elsewhere.merge(gone, Relayed);
     // These may have been under way since before the end.
     for sequence in 4..8 {
-        assert_eq!(here.merge(started(2_000, sequence, EndpointState::Ready), FirstHand), None);
+        assert_eq!(here.merge(started(2_000, sequence, EndpointState::Ready), Direct), None);
     }
-    let revived = here.merge(started(2_000, 8, EndpointState::Ready), FirstHand).unwrap();
+    let revived = here.merge(started(2_000, 8, EndpointState::Ready), Direct).unwrap();
     assert_eq!(ready(&here), Some((2_000, 8)));
-    assert!(elsewhere.merge(revived.clone(), SecondHand).is_some(), "others hear of it");
+    assert!(elsewhere.merge(revived.clone(), Relayed).is_some(), "others hear of it");
     assert_eq!(ready(&elsewhere), Some((2_000, 8)));
     // Late news of the end and of the time before it change nothing.
     let gone = Registration { state: EndpointState::Gone, revivals: 0, ..revived };
-    assert_eq!(elsewhere.merge(gone, SecondHand), None);
+    assert_eq!(elsewhere.merge(gone, Relayed), None);
     assert_eq!(ready(&elsewhere), Some((2_000, 8)));
-    here.merge(Registration::gone("e"), FirstHand);
+    here.merge(Registration::gone("e"), Direct);
     assert_eq!(ready(&here), None, "it may end after all");
 }
 
 #[test]
 fn whoever_hears_a_start_call_on_revives_it_where_another_took_its_end() {
     let mut registry = Registry::default();
-    registry.merge(started(2_000, 2, EndpointState::Leaving), SecondHand);
-    registry.merge(started(2_000, 2, EndpointState::Gone), SecondHand);
+    registry.merge(started(2_000, 2, EndpointState::Leaving), Relayed);
+    registry.merge(started(2_000, 2, EndpointState::Gone), Relayed);
     for sequence in 3..=7 {
-        registry.merge(started(2_000, sequence, EndpointState::Ready), FirstHand);
+        registry.merge(started(2_000, sequence, EndpointState::Ready), Direct);
     }
     let known = registry.get("e").unwrap();
     assert_eq!((known.state, known.revivals), (EndpointState::Leaving, 1), "it had said so");
@@ -152,11 +152,11 @@
 #[test]
 fn a_start_that_ended_with_a_roll_out_is_not_revived() {
     let mut registry = Registry::default();
-    registry.merge(started(1_000, 1, EndpointState::Ready), FirstHand);
+    registry.merge(started(1_000, 1, EndpointState::Ready), Direct);
     let releases = Releases::AllBut("v2");
     registry.retire(Retired { service: "llm", releases, at_ms: 1_500, is_news: true });
     for sequence in 2..20 {
-        assert_eq!(registry.merge(started(1_000, sequence, EndpointState::Ready), FirstHand), None);
+        assert_eq!(registry.merge(started(1_000, sequence, EndpointState::Ready), Direct), None);
     }
     assert_eq!(ready(&registry), None);
 }
@@ -168,20 +168,20 @@
     let mut here = Registry::default();
     let mut elsewhere = Registry::default();
     let end = Registration { started_at_ms: 60_000, ..Registration::gone("e") };
-    elsewhere.merge(started(29_000, 7, EndpointState::Ready), FirstHand);
-    here.merge(end.clone(), FirstHand);
-    assert!(elsewhere.merge(end.clone(), SecondHand).is_some(), "it is ended by every host");
+    elsewhere.merge(started(29_000, 7, EndpointState::Ready), Direct);
+    here.merge(end.clone(), Direct);
+    assert!(elsewhere.merge(end.clone(), Relayed).is_some(), "it is ended by every host");
     assert_eq!(ready(&elsewhere), None);
     // It started again, by its own clock before the end.
     for sequence in 1..5 {
-        assert_eq!(here.merge(started(31_000, sequence, EndpointState::Ready), FirstHand), None);
-        assert_eq!(here.merge(started(29_000, 7, EndpointState::Ready), FirstHand), None);
+        assert_eq!(here.merge(started(31_000, sequence, EndpointState::Ready), Direct), None);
+        assert_eq!(here.merge(started(29_000, 7, EndpointState::Ready), Direct), None);
     }
-    let again = here.merge(started(31_000, 5, EndpointState::Ready), FirstHand).unwrap();
+    let again = here.merge(started(31_000, 5, EndpointState::Ready), Direct).unwrap();
     assert_eq!(ready(&here), Some((31_000, 5)));
     for host in [&mut here, &mut elsewhere] {
-        host.merge(again.clone(), SecondHand);
-        host.merge(end.clone(), SecondHand);
+        host.merge(again.clone(), Relayed);
+        host.merge(end.clone(), Relayed);
         assert_eq!(ready(host), Some((31_000, 5)), "late news of the end");
     }
 }
