--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -248,7 +248,7 @@
             }
             FeedRequest::EndpointsLeave(starts) => {
                 // As first hand: the other control hosts are told.
-                publication.followed.registry.leave(&starts, Origin::Direct);
+                publication.followed.registry.record_leaving(&starts, Origin::Direct);
                 None
             }
             FeedRequest::Speak { waking } => Some(FeedMessage::Speaks { waking }),
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -97,7 +97,7 @@
 }
 
 fn take_leaving(gateway: &Arc<Gateway>, told: &LeavingTold) {
-    gateway.registry.leave(&told.starts, Origin::Relayed);
+    gateway.registry.record_leaving(&told.starts, Origin::Relayed);
     let now = gateway.now();
     let leaves = Notice { leaves: true, ..Notice::default() };
     for (start, address) in &told.heard {
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -104,7 +104,7 @@
     /// hears, and its answers are the only news.
     fn leaves(&self, start: EndpointStart) {
         let starts = [start];
-        if self.registry.leave(&starts, Origin::Relayed) {
+        if self.registry.record_leaving(&starts, Origin::Relayed) {
             log::info!("gateway: endpoint {} says in an answer that it leaves", starts[0].id);
             self.feeds.report_leaving(&starts);
         }
--- a/src/registry/shared.rs
+++ b/src/registry/shared.rs
@@ -49,9 +49,9 @@
 
     /// Starts of endpoints were heard to leave by other words than a registration. Returns
     /// whether any was known to take work.
-    pub fn leave(&self, starts: &[EndpointStart], origin: Origin) -> bool {
+    pub fn record_leaving(&self, starts: &[EndpointStart], origin: Origin) -> bool {
         let changed: Vec<_> = self.read_mut(|registry| {
-            starts.iter().filter_map(|start| registry.leaves(start, origin)).collect()
+            starts.iter().filter_map(|start| registry.record_leaving(start, origin)).collect()
         });
         log_changed(&changed);
         !changed.is_empty()
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -172,7 +172,11 @@
 
     /// One start of an endpoint was heard to leave by other words than a registration.
     /// Returns what is known now, if this start was known to take work.
-    pub fn leaves(&mut self, start: &EndpointStart, origin: Origin) -> Option<Registration> {
+    pub fn record_leaving(
+        &mut self,
+        start: &EndpointStart,
+        origin: Origin,
+    ) -> Option<Registration> {
         let known = self.get(&start.id)?;
         let is_meant = known.started_at_ms == start.started_at_ms;
         if !is_meant || known.state != EndpointState::Ready {
