--- a/src/registry.rs
+++ b/src/registry.rs
@@ -16,7 +16,7 @@
 mod tests;
 
 pub use halls::DrainedHalls;
-pub use retired::{Releases, Retired};
+pub use retired::{RetiredReleases, Retirement};
 pub use shared::SharedRegistry;
 pub use start::EndpointStart;
 pub use table::{Changes, EndpointState, Origin, Registration, Registry, Scope};
--- a/src/registry/retired.rs
+++ b/src/registry/retired.rs
@@ -4,35 +4,35 @@
 
 /// Which endpoints of a service take no more work at the end of a roll-out.
 #[derive(Clone, Copy, Debug)]
-pub struct Retired<'a> {
+pub struct Retirement<'a> {
     /// The service.
     pub service: &'a str,
     /// Of which releases.
-    pub releases: Releases<'a>,
+    pub releases: RetiredReleases<'a>,
     /// When it ended, in milliseconds since the epoch: what started later is not meant.
     pub at_ms: u64,
     /// Whether this host learns of it as it happens, so that those which do not say when
     /// they started were there before.
-    pub is_news: bool,
+    pub seen_in_progress: bool,
 }
 
-/// Releases whose endpoints are retired.
+/// RetiredReleases whose endpoints are retired.
 #[derive(Clone, Copy, Debug)]
-pub enum Releases<'a> {
+pub enum RetiredReleases<'a> {
     /// All but the one that was rolled out: they have stopped.
     AllBut(&'a str),
     /// The one that was rolled back: it finishes what it has.
     Only(&'a str),
 }
 
-impl Retired<'_> {
+impl Retirement<'_> {
     pub(super) fn includes(&self, endpoint: &Registration) -> bool {
         let is_of_release = match self.releases {
-            Releases::AllBut(version) => endpoint.version != version,
-            Releases::Only(version) => endpoint.version == version,
+            RetiredReleases::AllBut(version) => endpoint.version != version,
+            RetiredReleases::Only(version) => endpoint.version == version,
         };
         let had_started = match endpoint.started_at_ms {
-            0 => self.is_news,
+            0 => self.seen_in_progress,
             started_at_ms => started_at_ms < self.at_ms,
         };
         let is_meant = endpoint.service == self.service && is_of_release && had_started;
@@ -42,8 +42,8 @@
     /// How far the life of the endpoints has come.
     pub(super) fn state(&self) -> EndpointState {
         match self.releases {
-            Releases::AllBut(_) => EndpointState::Gone,
-            Releases::Only(_) => EndpointState::Leaving,
+            RetiredReleases::AllBut(_) => EndpointState::Gone,
+            RetiredReleases::Only(_) => EndpointState::Leaving,
         }
     }
 }
--- a/src/registry/shared.rs
+++ b/src/registry/shared.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 use super::known::RESTORED_WARMUP_MS;
-use super::{DrainedHalls, EndpointStart, Origin, Registration, Registry, Retired};
+use super::{DrainedHalls, EndpointStart, Origin, Registration, Registry, Retirement};
 
 /// Endpoints that a log line about many names at most.
 const MOST_NAMED: usize = 8;
@@ -58,7 +58,7 @@
     }
 
     /// Endpoints take no more work since a roll-out ended.
-    pub fn retire(&self, retired: Retired<'_>) {
+    pub fn retire(&self, retired: Retirement<'_>) {
         let number = self.read_mut(|registry| registry.retire(retired));
         log::info!("registry: {number} endpoints are retired: {retired:?}");
     }
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::known::{Known, count_as_cold};
-use super::{DrainedHalls, EndpointStart, Retired};
+use super::{DrainedHalls, EndpointStart, Retirement};
 
 /// Endpoints that are gone are remembered up to this number, so that a late
 /// message does not bring one back.
@@ -213,7 +213,7 @@
 
     /// Endpoints take no more work since a roll-out ended: they do not say so themselves.
     /// Returns their number.
-    pub fn retire(&mut self, retired: Retired<'_>) -> usize {
+    pub fn retire(&mut self, retired: Retirement<'_>) -> usize {
         let before = self.remembered.len();
         self.remembered.retain(|_, said| !retired.includes(said));
         let forgotten = before - self.remembered.len();
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -258,8 +258,8 @@
 }
 
 /// A roll-out of `llm` that ended at 1,000 ms.
-fn ended(releases: Releases<'_>, is_news: bool) -> Retired<'_> {
-    Retired { service: "llm", releases, at_ms: 1_000, is_news }
+fn ended(releases: RetiredReleases<'_>, seen_in_progress: bool) -> Retirement<'_> {
+    Retirement { service: "llm", releases, at_ms: 1_000, seen_in_progress }
 }
 
 fn ready_ids(registry: &Registry) -> Vec<&str> {
@@ -275,7 +275,7 @@
     let other = Registration { service: "app".into(), ..of_release("app", "v1", 100) };
     registry.merge(other, Direct);
     let before = registry.last_change();
-    assert_eq!(registry.retire(ended(Releases::AllBut("v2"), true)), 1);
+    assert_eq!(registry.retire(ended(RetiredReleases::AllBut("v2"), true)), 1);
     assert_eq!(registry.changes_after(before, 9, Scope::All).endpoints[0].id, "old");
     // A heartbeat that was under way does not bring it back.
     registry.merge(Registration { sequence: 9, ..of_release("old", "v1", 100) }, Direct);
@@ -293,7 +293,7 @@
     for endpoint in [of_release("next", "v3", 1_500), of_release("silent", "v3", 0)] {
         registry.merge(endpoint, Direct);
     }
-    assert_eq!(registry.retire(ended(Releases::AllBut("v2"), false)), 1);
+    assert_eq!(registry.retire(ended(RetiredReleases::AllBut("v2"), false)), 1);
     assert_eq!(ready_ids(&registry), ["next", "silent", "b"]);
 }
 
@@ -304,7 +304,7 @@
     for endpoint in [of_release("old", "v1", 100), of_release("bad", "v2", 900)] {
         registry.merge(endpoint, Direct);
     }
-    assert_eq!(registry.retire(ended(Releases::Only("v2"), true)), 1);
+    assert_eq!(registry.retire(ended(RetiredReleases::Only("v2"), true)), 1);
     registry.merge(Registration { sequence: 9, ..of_release("bad", "v2", 900) }, Direct);
     assert_eq!(ready_ids(&registry), ["old"]);
     assert_eq!(registry.get("bad").unwrap().state, EndpointState::Leaving);
--- a/src/registry/tests/starts.rs
+++ b/src/registry/tests/starts.rs
@@ -153,8 +153,8 @@
 fn a_start_that_ended_with_a_roll_out_is_not_revived() {
     let mut registry = Registry::default();
     registry.merge(started(1_000, 1, EndpointState::Ready), Direct);
-    let releases = Releases::AllBut("v2");
-    registry.retire(Retired { service: "llm", releases, at_ms: 1_500, is_news: true });
+    let releases = RetiredReleases::AllBut("v2");
+    registry.retire(Retirement { service: "llm", releases, at_ms: 1_500, seen_in_progress: true });
     for sequence in 2..20 {
         assert_eq!(registry.merge(started(1_000, sequence, EndpointState::Ready), Direct), None);
     }
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -8,7 +8,7 @@
 use super::model::{Rollout, Rollouts, Stage};
 use super::report::{Grant, Grants, Report};
 use crate::dispatch::Millis;
-use crate::registry::{Releases, Retired, SharedRegistry};
+use crate::registry::{RetiredReleases, Retirement, SharedRegistry};
 use crate::wire::HostId;
 
 /// Reports that may wait for the leader's next decision: some seconds of those of
@@ -75,13 +75,13 @@
             log::info!("rollout: {} of {} is in stage {stage:?}", order.version, order.service);
             let releases = match stage {
                 Stage::Canary | Stage::Shifting => continue,
-                Stage::Done => Releases::AllBut(&order.version),
-                Stage::RolledBack => Releases::Only(&order.version),
+                Stage::Done => RetiredReleases::AllBut(&order.version),
+                Stage::RolledBack => RetiredReleases::Only(&order.version),
             };
             let known = before.get(&order.service);
-            let is_news = known.is_some_and(|r| r.number == number && !r.stage.is_final());
+            let seen_in_progress = known.is_some_and(|r| r.number == number && !r.stage.is_final());
             let (service, at_ms) = (order.service.as_str(), stage_at_ms);
-            registry.retire(Retired { service, releases, at_ms, is_news });
+            registry.retire(Retirement { service, releases, at_ms, seen_in_progress });
         }
     }
 
