--- a/src/admission.rs
+++ b/src/admission.rs
@@ -30,7 +30,7 @@
 
 impl Admission {
     /// Lets a request of `bytes` in, or says why not.
-    pub fn enter(&mut self, id: CustomerId, customer: &Customer, bytes: u64) -> Result<(), Denied> {
+    pub fn admit(&mut self, id: CustomerId, customer: &Customer, bytes: u64) -> Result<(), Denied> {
         let held = self.held.entry(id).or_default();
         if held.requests >= customer.max_waiting {
             return Err(Denied::TooManyRequests);
@@ -44,7 +44,7 @@
     }
 
     /// A request no longer waits here.
-    pub fn leave(&mut self, id: CustomerId, bytes: u64) {
+    pub fn release(&mut self, id: CustomerId, bytes: u64) {
         let Some(held) = self.held.get_mut(&id) else {
             return;
         };
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -8,17 +8,17 @@
 fn requests_and_bytes_are_bounded_by_customer() {
     let mut admission = Admission::default();
     let (one, two) = (CustomerId(1), CustomerId(2));
-    assert_eq!(admission.enter(one, &customer(), 60), Ok(()));
-    assert_eq!(admission.enter(one, &customer(), 60), Err(Denied::TooManyBytes));
-    assert_eq!(admission.enter(one, &customer(), 40), Ok(()));
-    assert_eq!(admission.enter(one, &customer(), 0), Err(Denied::TooManyRequests));
-    assert_eq!(admission.enter(two, &customer(), 60), Ok(()));
-    admission.leave(one, 60);
-    assert_eq!(admission.enter(one, &customer(), 60), Ok(()));
+    assert_eq!(admission.admit(one, &customer(), 60), Ok(()));
+    assert_eq!(admission.admit(one, &customer(), 60), Err(Denied::TooManyBytes));
+    assert_eq!(admission.admit(one, &customer(), 40), Ok(()));
+    assert_eq!(admission.admit(one, &customer(), 0), Err(Denied::TooManyRequests));
+    assert_eq!(admission.admit(two, &customer(), 60), Ok(()));
+    admission.release(one, 60);
+    assert_eq!(admission.admit(one, &customer(), 60), Ok(()));
 }
 
 #[test]
 fn one_request_larger_than_the_bound_may_pass_alone() {
     let mut admission = Admission::default();
-    assert_eq!(admission.enter(CustomerId(1), &customer(), 500), Ok(()));
+    assert_eq!(admission.admit(CustomerId(1), &customer(), 500), Ok(()));
 }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -90,7 +90,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let mut admission = self.router.admission.lock().unwrap_or_else(PoisonError::into_inner);
-        admission.leave(self.customer, self.bytes);
+        admission.release(self.customer, self.bytes);
     }
 }
 
@@ -134,7 +134,7 @@
             return Err(Denied::TooManyRequests);
         };
         let mut admission = self.router.admission.lock().unwrap_or_else(PoisonError::into_inner);
-        admission.enter(self.customer, customer, bytes)?;
+        admission.admit(self.customer, customer, bytes)?;
         let (router, customer) = (self.router.clone(), self.customer);
         Ok(Place { router, customer, bytes })
     }
