--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -22,15 +22,15 @@
 
 /// Longest time that a report may wait for others to share its frame, in
 /// milliseconds.
-pub const REPORT_PATIENCE_MS: Millis = 25;
+pub const MAX_REPORT_DELAY_MS: Millis = 25;
 /// A report waits at most this part of the time that requests take.
-pub const REPORT_PATIENCE_PART: u32 = 32;
+pub const REPORT_DELAY_DIVISOR: u32 = 32;
 
 /// Longest time that a grant which queues at its endpoint may wait for others to
 /// share its frame, in milliseconds.
-pub const GRANT_PATIENCE_MS: Millis = 50;
+pub const MAX_GRANT_DELAY_MS: Millis = 50;
 /// Such a grant waits at most this part of the time that requests take.
-pub const GRANT_PATIENCE_PART: u32 = 16;
+pub const GRANT_DELAY_DIVISOR: u32 = 16;
 
 /// Milliseconds on the process's monotonic clock.
 pub type Millis = u64;
--- a/src/dispatch/capacity.rs
+++ b/src/dispatch/capacity.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::{
-    GRANT_PATIENCE_MS, GRANT_PATIENCE_PART, Millis, REPORT_PATIENCE_MS, REPORT_PATIENCE_PART,
+    GRANT_DELAY_DIVISOR, MAX_GRANT_DELAY_MS, MAX_REPORT_DELAY_MS, Millis, REPORT_DELAY_DIVISOR,
 };
 use crate::config::{Config, EndpointId, HallId, HallSet, ServiceId};
 use crate::notice::Rest;
@@ -107,7 +107,7 @@
     divisor: u32,
     ahead: u32,
     round_trip_part: f64,
-    grant_patience_ms: Millis,
+    max_grant_delay_ms: Millis,
     endpoints: BTreeMap<EndpointId, State>,
 }
 
@@ -118,7 +118,7 @@
             divisor: divisor.max(1),
             ahead: 0,
             round_trip_part: 0.0,
-            grant_patience_ms: 0,
+            max_grant_delay_ms: 0,
             endpoints: BTreeMap::new(),
         }
     }
@@ -162,11 +162,11 @@
     /// Grants so far ahead that slots stay full through a round trip, given how
     /// long requests take.
     pub fn keep_full(&mut self, mean_ms: f64) {
-        let report = mean_ms / f64::from(REPORT_PATIENCE_PART);
-        let report = report.min(REPORT_PATIENCE_MS as f64);
-        let grant = mean_ms / f64::from(GRANT_PATIENCE_PART);
-        let grant = grant.min(GRANT_PATIENCE_MS as f64);
-        self.grant_patience_ms = grant as Millis;
+        let report = mean_ms / f64::from(REPORT_DELAY_DIVISOR);
+        let report = report.min(MAX_REPORT_DELAY_MS as f64);
+        let grant = mean_ms / f64::from(GRANT_DELAY_DIVISOR);
+        let grant = grant.min(MAX_GRANT_DELAY_MS as f64);
+        self.max_grant_delay_ms = grant as Millis;
         self.round_trip_part = (ROUND_TRIP_MS + report + grant) / mean_ms.max(1.0);
     }
 
@@ -237,9 +237,9 @@
 
     /// How long a grant may wait on its way: none into a free slot, a moment when
     /// it queues at the endpoint.
-    pub fn grant_patience(&self, endpoint: EndpointId) -> Millis {
+    pub fn max_grant_delay(&self, endpoint: EndpointId) -> Millis {
         let full = self.endpoints.get(&endpoint).is_some_and(|e| e.outstanding >= e.slots);
-        if full { self.grant_patience_ms } else { 0 }
+        if full { self.max_grant_delay_ms } else { 0 }
     }
 
     /// An endpoint asked a router for so many milliseconds of rest.
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -60,7 +60,7 @@
         /// The customer's lead after the charge, in units over share.
         lead: u64,
         /// Milliseconds that it may wait for others to share its frame.
-        patience_ms: Millis,
+        max_delay_ms: Millis,
         /// Why now.
         waited: Waited,
     },
--- a/src/dispatch/dispatcher/service.rs
+++ b/src/dispatch/dispatcher/service.rs
@@ -55,7 +55,7 @@
         self.accounts.advance(before);
         let charged = self.predicted(customer, request.input);
         self.charge(customer, charged);
-        let patience_ms = self.capacity.grant_patience(endpoint);
+        let max_delay_ms = self.capacity.max_grant_delay(endpoint);
         self.capacity.acquire(now, router, endpoint, &request.prefix);
         let after = self.accounts.entry(customer).counter;
         let granted = Granted { customer, endpoint, input: request.input, charged, since: now };
@@ -67,7 +67,7 @@
             endpoint,
             charged,
             lead: after.saturating_sub(self.accounts.floor()) / VIRTUAL_SCALE,
-            patience_ms,
+            max_delay_ms,
             waited,
         }
     }
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -259,7 +259,7 @@
                     endpoint,
                     charged,
                     lead,
-                    patience_ms,
+                    max_delay_ms,
                     waited,
                 } => {
                     let text = format!(
@@ -269,7 +269,7 @@
                     );
                     self.decide(router, seq, text);
                     let grant = FromDispatcher::Grant { seq, endpoint, charged, lead };
-                    let patience = Duration::from_millis(patience_ms);
+                    let patience = Duration::from_millis(max_delay_ms);
                     self.send(router, grant, patience);
                 }
                 Decision::Refuse { router, seq, customer, reason, retry_after_ms, hold_ms } => {
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -12,7 +12,7 @@
 use super::state::Router;
 use crate::config::{EndpointId, HallSet, ServiceId};
 use crate::dispatch::{
-    Client, Millis, REPORT_PATIENCE_MS, REPORT_PATIENCE_PART, Received, Submitted,
+    Client, MAX_REPORT_DELAY_MS, Millis, REPORT_DELAY_DIVISOR, Received, Submitted,
 };
 use crate::member::View;
 use crate::peer::Peers;
@@ -25,9 +25,9 @@
 /// How often a link without a dispatcher looks for one.
 const RETRY: Duration = Duration::from_millis(100);
 /// Longest time that a message waits for others to share its frame.
-const PATIENCE: Duration = Duration::from_millis(REPORT_PATIENCE_MS);
+const PATIENCE: Duration = Duration::from_millis(MAX_REPORT_DELAY_MS);
 /// A message waits at most this part of the time that requests take.
-const PATIENCE_PART: u32 = REPORT_PATIENCE_PART;
+const PATIENCE_PART: u32 = REPORT_DELAY_DIVISOR;
 /// Requests over which the time they take is averaged.
 const MEAN_OF: u32 = 16;
 
