--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -80,7 +80,7 @@
         hold_ms: u32,
     },
     /// An endpoint failed and is left out for a router.
-    LeftOut {
+    Exclude {
         /// The router that saw it fail.
         router: HostId,
         /// The endpoint.
@@ -223,7 +223,7 @@
 
     /// A router's session broke: its waiting requests are dropped, its running
     /// ones keep their slots for [`ORPHAN_MS`].
-    pub fn lost(&mut self, now: Millis, router: HostId, session: u64) -> Vec<Decision> {
+    pub fn on_session_lost(&mut self, now: Millis, router: HostId, session: u64) -> Vec<Decision> {
         let mut out = self.notice_stall(now);
         let Some(current) = self.sessions.get_mut(&router) else {
             return out;
--- a/src/dispatch/dispatcher/service.rs
+++ b/src/dispatch/dispatcher/service.rs
@@ -122,7 +122,7 @@
             Completion::Failed => {
                 let for_ms = self.capacity.failed(now, router, granted.endpoint);
                 let endpoint = granted.endpoint;
-                out.push(Decision::LeftOut { router, endpoint, for_ms });
+                out.push(Decision::Exclude { router, endpoint, for_ms });
             }
         }
     }
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -329,7 +329,7 @@
 fn a_lost_routers_slots_are_freed_and_its_wants_forgotten() {
     let mut bench = Bench::new(config(&[1], &[(0, 1)], 10));
     (0..5).for_each(|_| drop(bench.want(0, 1)));
-    bench.dispatcher.lost(bench.now, ROUTER, 1);
+    bench.dispatcher.on_session_lost(bench.now, ROUTER, 1);
     assert!(bench.dispatcher.snapshot().waiting.is_empty());
     assert_eq!(bench.dispatcher.snapshot().running, 2, "they may still be running");
     bench.wait(ORPHAN_MS);
@@ -349,7 +349,7 @@
 fn a_router_that_restarts_with_its_clock_set_back_is_served() {
     let mut bench = Bench::new(config(&[1], &[(0, 1)], 10));
     bench.join(ROUTER, 9, HallSet::ALL, false, vec![]);
-    bench.dispatcher.lost(bench.now, ROUTER, 9);
+    bench.dispatcher.on_session_lost(bench.now, ROUTER, 9);
     // Session numbers begin with the time of day at the start of the process.
     bench.join(ROUTER, 1, HallSet::ALL, false, vec![]);
     assert_eq!(grants(&bench.want(0, 1)), [(0, 1, 0)]);
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -92,7 +92,7 @@
         state.to.clear();
         state.from.clear();
         let host = host(router);
-        let decisions = self.dispatchers[dispatcher].lost(self.now, host, session);
+        let decisions = self.dispatchers[dispatcher].on_session_lost(self.now, host, session);
         self.decide(dispatcher, decisions);
     }
 
@@ -241,7 +241,7 @@
                 Decision::Refuse { router, seq, reason, retry_after_ms, hold_ms, .. } => {
                     (router, FromDispatcher::Refuse { seq, reason, retry_after_ms, hold_ms })
                 }
-                Decision::LeftOut { .. } => continue,
+                Decision::Exclude { .. } => continue,
                 Decision::Reset { .. } => {
                     self.reset(dispatcher);
                     continue;
--- a/src/dispatch/tests/rests.rs
+++ b/src/dispatch/tests/rests.rs
@@ -100,7 +100,7 @@
     bench.join(OTHER, 1, HallSet::ALL, false, vec![]);
     leaves(&mut bench, true);
     rests(&mut bench, 60_000);
-    bench.dispatcher.lost(bench.now, ROUTER, 1);
+    bench.dispatcher.on_session_lost(bench.now, ROUTER, 1);
     bench.wait(ORPHAN_MS + 50);
     let want = GrantRequest {
         seq: 1,
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -212,7 +212,7 @@
                 if self.sessions.get(&router).is_some_and(|s| s.number == session) {
                     self.sessions.remove(&router);
                 }
-                self.dispatcher.lost(now, router, session)
+                self.dispatcher.on_session_lost(now, router, session)
             }
             Event::Snapshot(sender) => {
                 // The asker may have left.
@@ -244,7 +244,7 @@
         let mut decisions = Vec::new();
         for (router, session) in lost {
             self.sessions.remove(&router);
-            decisions.extend(self.dispatcher.lost(now, router, session));
+            decisions.extend(self.dispatcher.on_session_lost(now, router, session));
         }
         decisions
     }
@@ -281,7 +281,7 @@
                     let refuse = FromDispatcher::Refuse { seq, reason, retry_after_ms, hold_ms };
                     self.send(router, refuse, Duration::ZERO);
                 }
-                Decision::LeftOut { router, endpoint, for_ms } => {
+                Decision::Exclude { router, endpoint, for_ms } => {
                     let id = endpoint.0;
                     log::warn!(
                         "dispatch: endpoint {id} left out for host {router} for {for_ms} ms"
