--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -36,9 +36,9 @@
     /// Send this to the dispatcher.
     Send(ToDispatcher),
     /// It is sent with the next session.
-    Kept,
+    Queued,
     /// The dispatcher asked to refuse the customer for now.
-    Held {
+    Refused {
         /// Why.
         reason: RefuseReason,
         /// Milliseconds after which to come back.
@@ -122,7 +122,7 @@
     }
 
     /// An endpoint asked this router for so many milliseconds of rest.
-    pub fn rested(
+    pub fn record_rest(
         &mut self,
         now: Millis,
         endpoint: EndpointId,
@@ -170,7 +170,7 @@
         self.open.insert(want.seq, request);
         match self.session {
             Some(_) => Submitted::Send(ToDispatcher::GrantRequest(want)),
-            None => Submitted::Kept,
+            None => Submitted::Queued,
         }
     }
 
@@ -180,7 +180,7 @@
             self.holds.remove(&customer);
             return None;
         }
-        Some(Submitted::Held { reason: hold.reason, retry_after_ms: (hold.until - now) as u32 })
+        Some(Submitted::Refused { reason: hold.reason, retry_after_ms: (hold.until - now) as u32 })
     }
 
     /// A message arrived on `session`; those of ended sessions are ignored.
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -148,8 +148,8 @@
         state.customers.insert(seq, CustomerId(customer));
         match state.client.submit(self.now, want) {
             Submitted::Send(message) => state.to.push_back(message),
-            Submitted::Kept => {}
-            Submitted::Held { .. } => self.end(router, seq),
+            Submitted::Queued => {}
+            Submitted::Refused { .. } => self.end(router, seq),
         }
     }
 
--- a/src/dispatch/tests/rests.rs
+++ b/src/dispatch/tests/rests.rs
@@ -116,8 +116,8 @@
 #[test]
 fn a_new_dispatcher_is_told_what_endpoints_said() {
     let mut client = Client::new(HallSet::ALL);
-    assert_eq!(client.rested(0, ENDPOINT, 1_000), None, "nobody is attached");
-    client.rested(0, EndpointId(7), 100);
+    assert_eq!(client.record_rest(0, ENDPOINT, 1_000), None, "nobody is attached");
+    client.record_rest(0, EndpointId(7), 100);
     client.set_leaving(EndpointId(1), true);
     client.set_leaving(EndpointId(2), true);
     client.set_leaving(EndpointId(2), false);
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -227,7 +227,7 @@
                 self.send(message);
             }
             Event::Rest { endpoint, time } => {
-                let message = self.client.rested(now, endpoint, time);
+                let message = self.client.record_rest(now, endpoint, time);
                 self.send(message);
             }
             Event::Leaving { endpoint, leaves } => {
@@ -253,11 +253,11 @@
         let now = self.peers.clock.now();
         let seq = want.seq;
         match self.client.submit(now, want) {
-            Submitted::Held { reason, retry_after_ms } => {
+            Submitted::Refused { reason, retry_after_ms } => {
                 // The caller may have left.
                 let _ = verdict.send(Verdict::Refuse { reason, retry_after_ms });
             }
-            Submitted::Kept => {
+            Submitted::Queued => {
                 self.verdicts.insert(seq, verdict);
             }
             Submitted::Send(message) => {
