--- a/src/control/legacy.rs
+++ b/src/control/legacy.rs
@@ -91,7 +91,7 @@
         let Drained { revision, halls } = self.drained;
         state::State {
             document: self.document.map(|document| Arc::new(document.into_today())),
-            drained: DrainedHalls::known_without_restored(revision, halls),
+            drained: DrainedHalls::without_restored(revision, halls),
             ..self.changes.into_today()
         }
     }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -17,7 +17,7 @@
 use super::warmth::Warmth;
 use crate::dispatch::Millis;
 use crate::eligibility::{Candidate, order_of};
-use crate::region::are_apart;
+use crate::region::are_distinct_regions;
 use crate::wire::HostId;
 
 /// Service over an equal part below which being served less says no more.
@@ -290,7 +290,7 @@
 
     /// What an engine in another region counts dearer, in milliseconds of waiting.
     fn away_cost(&self, engine: &Engine) -> f64 {
-        match are_apart(self.from_region, &engine.region) {
+        match are_distinct_regions(self.from_region, &engine.region) {
             true => self.rules.other_region_cost_ms,
             false => 0.0,
         }
@@ -298,7 +298,7 @@
 
     /// Milliseconds on the way to an engine and back, beyond those within a region.
     fn way_ms(&self, engine: &Engine) -> f64 {
-        match are_apart(self.from_region, &engine.region) {
+        match are_distinct_regions(self.from_region, &engine.region) {
             true => self.rules.other_region_round_trip_ms,
             false => 0.0,
         }
--- a/src/region.rs
+++ b/src/region.rs
@@ -20,7 +20,7 @@
     /// Whether two data halls are in different regions. One whose region is not known
     /// counts as near.
     pub fn is_other_region(&self, from_hall: &str, to_hall: &str) -> bool {
-        are_apart(self.of(from_hall), self.of(to_hall))
+        are_distinct_regions(self.of(from_hall), self.of(to_hall))
     }
 
     /// Whether no data hall is assigned to a region.
@@ -31,7 +31,7 @@
 
 /// Whether these are two regions. The empty name stands for one that is not known, which
 /// counts as near.
-pub fn are_apart(from: &str, to: &str) -> bool {
+pub fn are_distinct_regions(from: &str, to: &str) -> bool {
     !from.is_empty() && !to.is_empty() && from != to
 }
 
--- a/src/registry/halls.rs
+++ b/src/registry/halls.rs
@@ -22,7 +22,7 @@
 
 impl DrainedHalls {
     /// Halls drained at a revision, where it is not known which were taken back before.
-    pub fn known_without_restored(revision: u64, halls: BTreeSet<String>) -> DrainedHalls {
+    pub fn without_restored(revision: u64, halls: BTreeSet<String>) -> DrainedHalls {
         DrainedHalls { revision, halls, restored: BTreeMap::new() }
     }
 
