--- a/bench/variants.py
+++ b/bench/variants.py
@@ -30,7 +30,7 @@
      "if takeover && self.sessions.is_empty() {", "if takeover && false {",
      LIB + ["a_dispatcher_that_takes_over_waits"], {}),
     ("a thawed dispatcher goes on", "src/dispatch/dispatcher/session.rs",
-     "if stalled_ms < THAW_MS || self.sessions.is_empty() {", "if true {",
+     "if stalled_ms < STALL_RESET_MS || self.sessions.is_empty() {", "if true {",
      LIB + ["a_frozen_dispatcher_forgets"], {}),
     ("slots of a new session's old grants leak", "src/dispatch/dispatcher/session.rs",
      "        self.drop_grants_of(router);\n        self.accounts.drop_router(router);\n        let joined",
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -18,7 +18,9 @@
 pub use account::VIRTUAL_SCALE;
 pub use capacity::{Capacity, EndpointLoad};
 pub use client::{Client, Received, Submitted};
-pub use dispatcher::{Decision, Dispatcher, ORPHAN_MS, RECOVERY_MS, Snapshot, THAW_MS, Waited};
+pub use dispatcher::{
+    Decision, Dispatcher, ORPHAN_MS, RECOVERY_MS, STALL_RESET_MS, Snapshot, Waited,
+};
 
 /// Longest time that a report may wait for others to share its frame, in
 /// milliseconds.
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -15,7 +15,7 @@
 use crate::wire::{Completion, GrantRequest, HostId, RefuseReason, ToDispatcher};
 
 /// A dispatcher not run for this long may have been replaced: it forgets.
-pub const THAW_MS: Millis = 1_000;
+pub const STALL_RESET_MS: Millis = 1_000;
 /// How long a dispatcher that takes over waits for the routers it may not know.
 pub const RECOVERY_MS: Millis = 300;
 /// How long the grants of a lost router are kept before their slots are freed.
--- a/src/dispatch/dispatcher/session.rs
+++ b/src/dispatch/dispatcher/session.rs
@@ -2,7 +2,7 @@
 
 use super::{
     CustomerId, Decision, Dispatcher, EndpointId, Granted, HallSet, HostId, Millis, ORPHAN_MS,
-    RECOVERY_MS, Session, THAW_MS, VIRTUAL_SCALE,
+    RECOVERY_MS, STALL_RESET_MS, Session, VIRTUAL_SCALE,
 };
 use crate::dispatch::account::Accounts;
 
@@ -10,7 +10,7 @@
     pub(super) fn notice_stall(&mut self, now: Millis) -> Vec<Decision> {
         let stalled_ms = now.saturating_sub(self.last_step);
         self.last_step = self.last_step.max(now);
-        if stalled_ms < THAW_MS || self.sessions.is_empty() {
+        if stalled_ms < STALL_RESET_MS || self.sessions.is_empty() {
             return Vec::new();
         }
         self.accounts = Accounts::default();
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -318,7 +318,7 @@
 fn a_frozen_dispatcher_forgets_what_it_held() {
     let mut bench = Bench::new(config(&[1], &[(0, 1)], 10));
     (0..5).for_each(|_| drop(bench.want(0, 1)));
-    bench.now += THAW_MS;
+    bench.now += STALL_RESET_MS;
     let decisions = bench.dispatcher.tick(bench.now);
     assert!(matches!(decisions[..], [Decision::Reset { .. }]));
     let snapshot = bench.dispatcher.snapshot();
