--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,4 +1,4 @@
-//! What a router lets in: a bound on each customer's requests and bytes.
+//! Admission control of a router: a limit on each customer's requests and bytes.
 
 use std::collections::HashMap;
 
@@ -7,56 +7,57 @@
 #[cfg(test)]
 mod tests;
 
-/// Why a request is not let in.
+/// Reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// The customer has as many requests open here as it may have waiting.
+    /// The customer already has its maximum number of requests open at this router.
     TooManyRequests,
-    /// The customer has too many body bytes open here.
+    /// The customer would have too many body bytes open at this router.
     TooManyBytes,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct Usage {
     requests: u32,
     bytes: u64,
 }
 
-/// What each customer has waiting at one router.
+/// Open requests and body bytes of each customer at one router.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    held: HashMap<CustomerId, Held>,
+    usage: HashMap<CustomerId, Usage>,
 }
 
 impl Admission {
-    /// Lets a request of `bytes` in, or says why not.
+    /// Admits a request with a body of `bytes`, or returns why not. A customer's first open
+    /// request is admitted whatever its size.
     pub fn admit(&mut self, id: CustomerId, customer: &Customer, bytes: u64) -> Result<(), Denied> {
-        let held = self.held.entry(id).or_default();
-        if held.requests >= customer.max_waiting {
+        let usage = self.usage.entry(id).or_default();
+        if usage.requests >= customer.max_waiting {
             return Err(Denied::TooManyRequests);
         }
-        if held.requests > 0 && held.bytes + bytes > customer.max_bytes {
+        if usage.requests > 0 && usage.bytes + bytes > customer.max_bytes {
             return Err(Denied::TooManyBytes);
         }
-        held.requests += 1;
-        held.bytes += bytes;
+        usage.requests += 1;
+        usage.bytes += bytes;
         Ok(())
     }
 
-    /// A request no longer waits here.
+    /// Releases a request with a body of `bytes` that no longer waits at this router.
     pub fn release(&mut self, id: CustomerId, bytes: u64) {
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(usage) = self.usage.get_mut(&id) else {
             return;
         };
-        held.requests = held.requests.saturating_sub(1);
-        held.bytes = held.bytes.saturating_sub(bytes);
-        if held.requests == 0 {
-            self.held.remove(&id);
+        usage.requests = usage.requests.saturating_sub(1);
+        usage.bytes = usage.bytes.saturating_sub(bytes);
+        if usage.requests == 0 {
+            self.usage.remove(&id);
         }
     }
 
-    /// Requests waiting here.
+    /// Number of requests waiting at this router.
     pub fn waiting(&self) -> u64 {
-        self.held.values().map(|h| u64::from(h.requests)).sum()
+        self.usage.values().map(|u| u64::from(u.requests)).sum()
     }
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn requests_and_bytes_are_bounded_by_customer() {
+fn requests_and_bytes_are_limited_by_customer() {
     let mut admission = Admission::default();
     let (one, two) = (CustomerId(1), CustomerId(2));
     assert_eq!(admission.admit(one, &customer(), 60), Ok(()));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn one_request_larger_than_the_bound_may_pass_alone() {
+fn one_request_larger_than_the_limit_is_admitted_by_itself() {
     let mut admission = Admission::default();
     assert_eq!(admission.admit(CustomerId(1), &customer(), 500), Ok(()));
 }
--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -1,43 +1,43 @@
-//! Which endpoints a request may be sent to at all, whatever they have to do.
+//! Which endpoints a request may be sent to, independent of their load.
 //!
-//! One definition, asked wherever an endpoint is chosen and again where a request is
-//! sent: by the placer, by a router that chooses alone, and before each attempt.
+//! The one definition for all places where an endpoint is chosen or a request is sent: the
+//! placer, a router that chooses by itself, and the check before each attempt.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::region::AllowedRegions;
 
-/// What of an endpoint decides whether it is eligible.
+/// The properties of an endpoint that decide whether it is eligible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// The region of its data hall; empty where none is known.
+    /// The region of its data hall; empty if unknown.
     pub region: &'a str,
     /// The release of its software.
     pub version: &'a str,
-    /// Its place in an order that every host knows: [`order_of`] its id.
+    /// Its place in an order that every host computes alike: [`order_of`] its id.
     pub order: u32,
 }
 
-/// The place of an endpoint in an order that every host knows without being told.
+/// The place of an endpoint in an order that every host computes alike from the id.
 pub fn order_of(id: &str) -> u32 {
     (xxh3_64(id.as_bytes()) >> 32) as u32
 }
 
-/// Which releases of a service may run a request, while one is rolled out.
+/// Which releases of a service may run a request during a roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VersionRule {
-    /// All of them.
+    /// All releases.
     #[default]
     Any,
-    /// All but this one.
+    /// All releases but this one.
     Not(String),
-    /// This one only.
+    /// Only this release.
     Only {
         /// The release.
         version: String,
-        /// Of its endpoints those up to here in the order of all: few get much each, so
-        /// that a release which fails under load is found out early.
+        /// Highest [`Candidate::order`] of its endpoints that may be used. Few endpoints get
+        /// much load each, so that a release which fails under load is detected early.
         highest_order: u32,
     },
 }
@@ -45,9 +45,9 @@
 /// Which endpoints a request may be sent to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Eligibility {
-    /// Where it may be served.
+    /// The regions in which it may be served.
     pub regions: AllowedRegions,
-    /// By which releases.
+    /// The releases that may serve it.
     pub version: VersionRule,
 }
 
--- a/src/region.rs
+++ b/src/region.rs
@@ -1,10 +1,10 @@
-//! Regions: the data halls near each other, and where requests may be served.
+//! Regions: groups of data halls near each other, and where requests may be served.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// Which region each data hall belongs to, from the settings of every host.
+/// Region of each data hall, from the settings of every host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Regions {
@@ -12,13 +12,13 @@
 }
 
 impl Regions {
-    /// The region of a data hall; empty where the settings do not name the hall.
+    /// The region of a data hall; empty if the settings do not name the hall.
     pub fn of(&self, hall: &str) -> &str {
         self.by_hall.get(hall).map_or("", String::as_str)
     }
 
-    /// Whether two data halls are in different regions. One whose region is not known
-    /// counts as near.
+    /// Whether two data halls are in different regions. A hall without a known region counts
+    /// as near.
     pub fn is_other_region(&self, from_hall: &str, to_hall: &str) -> bool {
         are_distinct_regions(self.of(from_hall), self.of(to_hall))
     }
@@ -29,7 +29,7 @@
     }
 }
 
-/// Whether these are two regions. The empty name stands for one that is not known, which
+/// Whether these are two different regions. An empty name stands for an unknown region, which
 /// counts as near.
 pub fn are_distinct_regions(from: &str, to: &str) -> bool {
     !from.is_empty() && !to.is_empty() && from != to
@@ -41,18 +41,19 @@
     }
 }
 
-/// Where requests of a route or customer may be served, cached and stored.
+/// Regions in which requests of a route or customer may be served, cached and stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AllowedRegions {
     /// In every region.
     #[default]
     Anywhere,
-    /// In these only; nowhere if there are none.
+    /// Only in these regions; nowhere if the set is empty.
     Only(BTreeSet<String>),
 }
 
 impl AllowedRegions {
-    /// Whether a region is among them. A data hall without a region is in none.
+    /// Whether a region is allowed. The empty region of an unassigned data hall is allowed only
+    /// by [`AllowedRegions::Anywhere`].
     pub fn allows(&self, region: &str) -> bool {
         match self {
             AllowedRegions::Anywhere => true,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Where both allow it.
+    /// The regions that both allow.
     pub fn and(&self, other: &AllowedRegions) -> AllowedRegions {
         match (self, other) {
             (AllowedRegions::Anywhere, only) | (only, AllowedRegions::Anywhere) => only.clone(),
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -1,13 +1,13 @@
 //! Endpoints that register themselves with control hosts.
 //!
-//! What is known of an endpoint merges without agreement. Of two starts under one id the
-//! later one counts; within a start sequence numbers rise and the state only goes
-//! forward (ready, leaving, gone). So every process may learn from every other, in any
+//! Updates of an endpoint merge without agreement between hosts. Of two starts under one id
+//! the later one counts; within a start, sequence numbers rise and the state only moves
+//! forward (ready, leaving, gone). So processes may receive updates from each other in any
 //! order.
 
 mod halls;
 mod known;
-mod retired;
+mod retirement;
 pub mod saved;
 mod shared;
 mod start;
@@ -16,7 +16,7 @@
 mod tests;
 
 pub use halls::DrainedHalls;
-pub use retired::{RetiredReleases, Retirement};
+pub use retirement::{RetiredReleases, Retirement};
 pub use shared::SharedRegistry;
 pub use start::EndpointStart;
 pub use table::{Changes, EndpointState, Origin, Registration, Registry, Scope};
--- a/src/registry/halls.rs
+++ b/src/registry/halls.rs
@@ -1,12 +1,12 @@
-//! Data halls that operators have drained: their endpoints get no new work.
+//! Data halls drained by operators: their endpoints get no new work.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-/// Data halls taken back last that are kept in mind: more are hardly taken back within
-/// the seconds for which their endpoints count as cold.
-const KEPT_RESTORED: usize = 4;
+/// Maximum number of restored data halls that are kept: more are unlikely to be restored
+/// within the seconds for which their endpoints count as cold.
+const MAX_RESTORED: usize = 4;
 
 /// The drained data halls. Control hosts agree on them; of two, the one with the higher
 /// revision prevails.
@@ -15,13 +15,13 @@
     /// Rises with each order that changes something.
     revision: u64,
     halls: BTreeSet<String>,
-    /// Halls that were taken back, by the revision of that order. Whoever learns of
-    /// several orders at once learns from this what stood between them.
+    /// Restored halls, by the revision of the order that restored them. A host that receives
+    /// several orders at once finds the restored halls of the skipped revisions here.
     restored: BTreeMap<u64, String>,
 }
 
 impl DrainedHalls {
-    /// Halls drained at a revision, where it is not known which were taken back before.
+    /// Halls drained at a revision, without a record of halls restored before.
     pub fn without_restored(revision: u64, halls: BTreeSet<String>) -> DrainedHalls {
         DrainedHalls { revision, halls, restored: BTreeMap::new() }
     }
@@ -33,7 +33,7 @@
         self.restored.retain(|_, restored| restored != hall);
     }
 
-    /// Takes a data hall back.
+    /// Restores a drained data hall.
     pub fn restore(&mut self, hall: &str) {
         let was_drained = self.halls.remove(hall);
         if !was_drained {
@@ -41,12 +41,12 @@
         }
         self.revision += 1;
         self.restored.insert(self.revision, hall.to_string());
-        while self.restored.len() > KEPT_RESTORED {
+        while self.restored.len() > MAX_RESTORED {
             self.restored.pop_first();
         }
     }
 
-    /// Halls taken back by an order after this revision, and not drained again since.
+    /// Halls restored by an order after this revision, and not drained again since.
     pub fn restored_after(&self, revision: u64) -> impl Iterator<Item = &str> {
         self.restored.range(revision + 1..).map(|(_, hall)| hall.as_str())
     }
--- a/src/registry/known.rs
+++ b/src/registry/known.rs
@@ -1,182 +1,188 @@
-//! What is known of one endpoint, and how news of it merges.
+//! The record of one endpoint, and how updates are merged into it.
 
 use std::cmp::Ordering;
 
 use super::{EndpointState, Origin, Registration};
 
-/// Milliseconds for which an endpoint counts as cold after its data hall was taken back:
-/// two of its heartbeats, which come every 1.2 s on the platform.
+/// Time for which an endpoint counts as cold after its data hall was restored, in
+/// milliseconds: two of its heartbeats, which come every 1.2 s on the platform.
 pub(super) const RESTORED_WARMUP_MS: u64 = 2_500;
-/// Calls of an endpoint after which it is believed to be warm again: the first may have
-/// been sent before.
-const SURE_AFTER_CALLS: u64 = 2;
+/// Heartbeats after which an endpoint's report that it is warm is trusted again: the first
+/// may have been sent before its data hall was restored.
+const WARMTH_TRUSTED_AFTER_CALLS: u64 = 2;
 
-/// Calls by which a start that was taken to have ended shows that it goes on: as many as
-/// may have been under way when its end was heard.
-const CALLS_AFTER_END: u64 = 4;
+/// Heartbeats after which a start that was recorded as ended counts as still running: as
+/// many as may have been in flight when its end was received.
+const MIN_CALLS_AFTER_END: u64 = 4;
 
-/// The first call of a start since an end that may have been another's.
+/// The first heartbeat of a start after an end that may have been that of another start.
 #[derive(Clone, Copy, Debug)]
 struct FirstCall {
     started_at_ms: u64,
     sequence: u64,
 }
 
-/// An endpoint that was heard of.
+/// An endpoint that has registered or was reported by another process.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
-    /// What it said last.
-    pub said: Registration,
-    /// Number of the change that was its last.
+pub(super) struct EndpointRecord {
+    /// The current registration, merged from all updates.
+    pub registration: Registration,
+    /// Number of its last change.
     pub change: u64,
-    /// Whether the endpoint itself said that change here.
+    /// Whether the endpoint itself sent that change to this process.
     pub direct: bool,
-    /// Before this call nothing that it says of being warm is believed: it may have
-    /// been under way since before its data hall was taken back.
-    sure_from: u64,
-    /// The first call that was heard here of a start since it was taken to have ended.
-    first_since_end: Option<FirstCall>,
-    /// Whether this start was heard to leave.
-    leaves: bool,
-    /// Whether its end is certain to be this start's: it named it, or a roll-out ended it.
-    ended_for_good: bool,
+    /// Sequence number from which its reported warm-up is trusted: an earlier heartbeat may
+    /// have been in flight since before its data hall was restored.
+    warmth_trusted_from: u64,
+    /// The first heartbeat received here from a start since it was recorded as ended.
+    first_call_since_end: Option<FirstCall>,
+    /// Whether this start was reported as leaving.
+    was_leaving: bool,
+    /// Whether the end is certainly that of this start: the endpoint named the start, or a
+    /// roll-out ended it.
+    end_is_certain: bool,
 }
 
-impl Known {
-    /// An endpoint of which nothing was known.
-    pub fn new(said: Registration, direct: bool) -> Known {
-        let leaves = said.state == EndpointState::Leaving;
-        let ended_for_good = direct && names_its_end(&said);
-        Known {
-            said,
+impl EndpointRecord {
+    /// The record of an endpoint that was unknown so far.
+    pub fn new(registration: Registration, direct: bool) -> EndpointRecord {
+        let was_leaving = registration.state == EndpointState::Leaving;
+        let end_is_certain = direct && is_end_of_named_start(&registration);
+        EndpointRecord {
+            registration,
             change: 0,
             direct,
-            sure_from: 0,
-            first_since_end: None,
-            leaves,
-            ended_for_good,
+            warmth_trusted_from: 0,
+            first_call_since_end: None,
+            was_leaving,
+            end_is_certain,
         }
     }
 
-    /// Takes news in. Of two starts the later one counts, and nothing of the earlier one
-    /// is kept; returns whether it is a later start.
-    pub fn hear(&mut self, news: Registration, origin: Origin) -> bool {
-        if is_bare_end(&self.said) && !is_bare_end(&news) {
-            return self.hear_behind_bare_end(news, origin);
+    /// Merges an update. Of two starts the later one counts, and nothing of the earlier one
+    /// is kept; returns whether the update is of a later start.
+    pub fn merge(&mut self, update: Registration, origin: Origin) -> bool {
+        if is_bare_end(&self.registration) && !is_bare_end(&update) {
+            return self.merge_after_bare_end(update, origin);
         }
-        if is_bare_end(&news) && self.said.revivals > 0 && origin == Origin::Relayed {
-            // The start has gone on since.
+        if is_bare_end(&update) && self.registration.revivals > 0 && origin == Origin::Relayed {
+            // The start was found to be still running since.
             return false;
         }
-        let order = news.started_at_ms.cmp(&self.said.started_at_ms);
-        match order.then(news.revivals.cmp(&self.said.revivals)) {
+        let order = update.started_at_ms.cmp(&self.registration.started_at_ms);
+        match order.then(update.revivals.cmp(&self.registration.revivals)) {
             Ordering::Less => false,
             Ordering::Equal => {
-                self.hear_of_this_start(news, origin);
+                self.merge_same_start(update, origin);
                 false
             }
             Ordering::Greater if order.is_gt() => {
-                self.replace(news, origin);
+                self.replace(update, origin);
                 true
             }
             Ordering::Greater => {
-                self.revive(news);
+                self.revive(update);
                 false
             }
         }
     }
 
-    fn replace(&mut self, news: Registration, origin: Origin) {
+    fn replace(&mut self, update: Registration, origin: Origin) {
         let change = self.change;
-        *self = Known { change, ..Known::new(news, origin == Origin::Direct) };
+        *self = EndpointRecord { change, ..EndpointRecord::new(update, origin == Origin::Direct) };
     }
 
-    /// Only an end is known, with the latest start that it may have been of.
-    fn hear_behind_bare_end(&mut self, news: Registration, origin: Origin) -> bool {
-        if news.started_at_ms > self.said.started_at_ms || news.revivals > self.said.revivals {
-            self.replace(news, origin);
+    /// Merges an update into a record that holds only an end, with the time of the latest
+    /// start that may have ended.
+    fn merge_after_bare_end(&mut self, update: Registration, origin: Origin) -> bool {
+        if update.started_at_ms > self.registration.started_at_ms
+            || update.revivals > self.registration.revivals
+        {
+            self.replace(update, origin);
             return true;
         }
-        if origin == Origin::Direct && news.state != EndpointState::Gone {
-            self.hear_after_end(news);
+        if origin == Origin::Direct && update.state != EndpointState::Gone {
+            self.merge_call_after_end(update);
         }
         false
     }
 
-    fn hear_of_this_start(&mut self, news: Registration, origin: Origin) {
+    fn merge_same_start(&mut self, update: Registration, origin: Origin) {
         let direct = origin == Origin::Direct;
-        self.leaves |= news.state == EndpointState::Leaving;
-        self.ended_for_good |= direct && names_its_end(&news);
-        if self.said.state == EndpointState::Gone {
-            if direct && news.state != EndpointState::Gone {
-                self.hear_after_end(news);
+        self.was_leaving |= update.state == EndpointState::Leaving;
+        self.end_is_certain |= direct && is_end_of_named_start(&update);
+        if self.registration.state == EndpointState::Gone {
+            if direct && update.state != EndpointState::Gone {
+                self.merge_call_after_end(update);
             }
             return;
         }
-        let state = self.said.state.max(news.state);
-        let warmup_ms = self.said.warmup_ms;
-        if news.address.is_some() && news.sequence > self.said.sequence {
-            self.said = news;
-            if self.said.sequence < self.sure_from {
-                self.said.warmup_ms = self.said.warmup_ms.max(warmup_ms);
+        let state = self.registration.state.max(update.state);
+        let warmup_ms = self.registration.warmup_ms;
+        if update.address.is_some() && update.sequence > self.registration.sequence {
+            self.registration = update;
+            if self.registration.sequence < self.warmth_trusted_from {
+                self.registration.warmup_ms = self.registration.warmup_ms.max(warmup_ms);
             }
         }
-        self.said.state = state;
+        self.registration.state = state;
     }
 
-    /// The end may have been that of an earlier start, heard late. Calls that go on are this
-    /// one's; a few may have been under way since before the end.
-    fn hear_after_end(&mut self, mut news: Registration) {
-        let started_at_ms = news.started_at_ms;
-        let first = match self.first_since_end {
+    /// Merges a heartbeat of a start that was recorded as ended. The end may have been that
+    /// of an earlier start, received late. If heartbeats continue, this start is still
+    /// running; a few may have been in flight since before the end.
+    fn merge_call_after_end(&mut self, mut update: Registration) {
+        let started_at_ms = update.started_at_ms;
+        let first = match self.first_call_since_end {
             Some(first) if first.started_at_ms >= started_at_ms => first,
-            _ => FirstCall { started_at_ms, sequence: news.sequence },
+            _ => FirstCall { started_at_ms, sequence: update.sequence },
         };
-        self.first_since_end = Some(first);
-        let goes_on = news.sequence >= first.sequence + CALLS_AFTER_END;
-        if first.started_at_ms == started_at_ms && goes_on {
-            news.revivals += 1;
-            self.revive(news);
+        self.first_call_since_end = Some(first);
+        let is_still_running = update.sequence >= first.sequence + MIN_CALLS_AFTER_END;
+        if first.started_at_ms == started_at_ms && is_still_running {
+            update.revivals += 1;
+            self.revive(update);
         }
     }
 
-    fn revive(&mut self, news: Registration) {
-        if self.ended_for_good {
+    fn revive(&mut self, update: Registration) {
+        if self.end_is_certain {
             return;
         }
-        self.said = news;
-        self.first_since_end = None;
-        if self.leaves {
-            self.said.state = self.said.state.max(EndpointState::Leaving);
+        self.registration = update;
+        self.first_call_since_end = None;
+        if self.was_leaving {
+            self.registration.state = self.registration.state.max(EndpointState::Leaving);
         }
     }
 
-    /// It takes no more work since a roll-out ended.
+    /// Sets the state of an endpoint that takes no more work because a roll-out ended.
     pub fn retire(&mut self, state: EndpointState) {
-        self.said.state = state;
+        self.registration.state = state;
         self.direct = false;
-        self.ended_for_good = true;
+        self.end_is_certain = true;
     }
 
-    /// It may have turned cold and not yet said so: it counts as cold until it has said
-    /// the contrary twice.
-    pub fn doubt(&mut self) {
-        self.sure_from = self.said.sequence.saturating_add(SURE_AFTER_CALLS);
-        count_as_cold(&mut self.said);
+    /// Counts an endpoint as cold that may have turned cold without having reported it yet,
+    /// until it has reported twice that it is warm.
+    pub fn presume_cold(&mut self) {
+        self.warmth_trusted_from =
+            self.registration.sequence.saturating_add(WARMTH_TRUSTED_AFTER_CALLS);
+        count_as_cold(&mut self.registration);
     }
 }
 
-/// Whether all that is said is that some start has ended.
-fn is_bare_end(said: &Registration) -> bool {
-    said.state == EndpointState::Gone && said.address.is_none()
+/// Whether a registration states only that some start has ended.
+fn is_bare_end(registration: &Registration) -> bool {
+    registration.state == EndpointState::Gone && registration.address.is_none()
 }
 
-/// Whether an endpoint says which of its starts has ended.
-fn names_its_end(said: &Registration) -> bool {
-    said.state == EndpointState::Gone && said.address.is_some()
+/// Whether a registration states which start has ended.
+fn is_end_of_named_start(registration: &Registration) -> bool {
+    registration.state == EndpointState::Gone && registration.address.is_some()
 }
 
 /// Counts an endpoint as cold for as long as two of its heartbeats take.
-pub(super) fn count_as_cold(said: &mut Registration) {
-    said.warmup_ms = said.warmup_ms.max(RESTORED_WARMUP_MS);
+pub(super) fn count_as_cold(registration: &mut Registration) {
+    registration.warmup_ms = registration.warmup_ms.max(RESTORED_WARMUP_MS);
 }
--- a/src/registry/retired.rs
+++ b/src/registry/retirement.rs
@@ -1,4 +1,4 @@
-//! Endpoints that take no more work since a roll-out ended.
+//! Endpoints that take no more work because a roll-out ended.
 
 use super::{EndpointState, Registration};
 
@@ -7,21 +7,22 @@
 pub struct Retirement<'a> {
     /// The service.
     pub service: &'a str,
-    /// Of which releases.
+    /// The releases whose endpoints are retired.
     pub releases: RetiredReleases<'a>,
-    /// When it ended, in milliseconds since the epoch: what started later is not meant.
+    /// End of the roll-out, in milliseconds since the epoch: endpoints that started later are
+    /// not retired.
     pub at_ms: u64,
-    /// Whether this host learns of it as it happens, so that those which do not say when
-    /// they started were there before.
+    /// Whether this host knew the roll-out before it ended. Then endpoints without a start
+    /// time count as started before the end.
     pub seen_in_progress: bool,
 }
 
-/// RetiredReleases whose endpoints are retired.
+/// Releases whose endpoints are retired.
 #[derive(Clone, Copy, Debug)]
 pub enum RetiredReleases<'a> {
-    /// All but the one that was rolled out: they have stopped.
+    /// All but the one that was rolled out: their endpoints have stopped.
     AllBut(&'a str),
-    /// The one that was rolled back: it finishes what it has.
+    /// The one that was rolled back: its endpoints finish their running requests.
     Only(&'a str),
 }
 
@@ -35,11 +36,11 @@
             0 => self.seen_in_progress,
             started_at_ms => started_at_ms < self.at_ms,
         };
-        let is_meant = endpoint.service == self.service && is_of_release && had_started;
-        is_meant && endpoint.state < self.state()
+        let is_included = endpoint.service == self.service && is_of_release && had_started;
+        is_included && endpoint.state < self.state()
     }
 
-    /// How far the life of the endpoints has come.
+    /// State of the retired endpoints.
     pub(super) fn state(&self) -> EndpointState {
         match self.releases {
             RetiredReleases::AllBut(_) => EndpointState::Gone,
--- a/src/registry/saved.rs
+++ b/src/registry/saved.rs
@@ -1,9 +1,9 @@
-//! Endpoints on the disk of a control host, for the time after a restart.
+//! Endpoints saved on the disk of a control host, for use after a restart.
 //!
-//! Endpoints say what they are every second or so. A control host that has lost
-//! its memory would know them one after the other; from its disk it knows at once
-//! whom it knew before. Nothing depends on the file: it may be missing, old or
-//! damaged, and what it names is believed for a moment only.
+//! Endpoints register every second or so. A control host that restarts without its
+//! saved endpoints would get them one after the other; from its disk it has them
+//! all at once. Nothing depends on the file: it may be missing, old or damaged, and
+//! the endpoints in it count only for a short time.
 
 use std::fs::File;
 use std::io::Write;
@@ -18,11 +18,11 @@
 
 /// Name of the file in the data folder.
 const FILE: &str = "endpoints";
-/// Begins what this release writes, and rises with every change of a registration. A list
-/// without it begins with a count in at most ten bytes, which these ten cannot be.
+/// First bytes of the file, which rise with every change to the fields of a registration. A
+/// list without them begins with a count in at most ten bytes, which these ten cannot be.
 const FORMAT: [u8; 10] = [0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x82];
 /// How long to wait for further changes before the file is written.
-const SETTLE: Duration = Duration::from_millis(250);
+const WRITE_DELAY: Duration = Duration::from_millis(250);
 
 /// Reads the endpoints that took work when the file was written.
 pub fn load(folder: &Path) -> Vec<Registration> {
@@ -31,7 +31,7 @@
         Ok(bytes) => bytes,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Vec::new(),
         Err(error) => {
-            log::warn!("registry: saved endpoints cannot be read: {error}");
+            log::warn!("registry: cannot read saved endpoints: {error}");
             return Vec::new();
         }
     };
@@ -40,14 +40,14 @@
         _ => {
             let size = bytes.len();
             log::warn!(
-                "registry: saved endpoints are damaged or another release's, {size} bytes passed over"
+                "registry: saved endpoints are damaged or of another release; ignored {size} bytes"
             );
             Vec::new()
         }
     }
 }
 
-/// Writes the endpoints that take work, in place of those written before.
+/// Replaces the saved endpoints by these, which take work.
 pub fn save(folder: &Path, endpoints: &[Registration]) -> Result<()> {
     let path = folder.join(FILE);
     let new = folder.join(format!("{FILE}.new"));
@@ -62,16 +62,16 @@
 pub async fn keep_saved(registry: Arc<SharedRegistry>, folder: PathBuf) {
     let mut changes = registry.watch();
     while changes.changed().await.is_ok() {
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(WRITE_DELAY).await;
         changes.mark_unchanged();
         let ready = |r: &&Registration| r.state == EndpointState::Ready;
         let endpoints: Vec<_> = registry.read(|r| r.all().filter(ready).cloned().collect());
         let folder = folder.clone();
-        // A slow disk holds up nothing but this.
+        // A slow disk delays only this task.
         let written = tokio::task::spawn_blocking(move || save(&folder, &endpoints)).await;
         match written {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => log::warn!("registry: endpoints cannot be saved: {error}"),
+            Ok(Err(error)) => log::warn!("registry: cannot save endpoints: {error}"),
             Err(error) => log::error!("registry: saving endpoints ended early: {error}"),
         }
     }
--- a/src/registry/shared.rs
+++ b/src/registry/shared.rs
@@ -1,4 +1,4 @@
-//! A registry shared by the tasks of a process, which hear of its changes.
+//! A registry shared by the tasks of a process, with notification of changes.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -8,15 +8,16 @@
 use super::known::RESTORED_WARMUP_MS;
 use super::{DrainedHalls, EndpointStart, Origin, Registration, Registry, Retirement};
 
-/// Endpoints that a log line about many names at most.
-const MOST_NAMED: usize = 8;
-/// How long what an endpoint says may be of the time before a data hall was taken back.
-const RESTORED_FOR: Duration = Duration::from_millis(RESTORED_WARMUP_MS);
-/// How long endpoints are remembered: two of their heartbeats, which come every 1.2 s
-/// on the platform. One that left meanwhile gets nothing new after that.
-const REMEMBERED_FOR: Duration = Duration::from_millis(2_500);
+/// Maximum number of endpoints named in one log line.
+const MAX_NAMED: usize = 8;
+/// How long an update may still date from the time before a data hall was restored.
+const RESTORED_PERIOD: Duration = Duration::from_millis(RESTORED_WARMUP_MS);
+/// How long endpoints count as ready after a restart without a new heartbeat: two of their
+/// heartbeats, which come every 1.2 s on the platform. One that left meanwhile gets no new
+/// work after that.
+const REMEMBERED_PERIOD: Duration = Duration::from_millis(2_500);
 
-/// A registry and its changes.
+/// A registry behind a lock, with a channel for its changes.
 #[derive(Debug)]
 pub struct SharedRegistry {
     registry: Mutex<Registry>,
@@ -31,83 +32,87 @@
 }
 
 impl SharedRegistry {
-    /// Takes in what endpoints said; tells listeners if something differs now.
-    pub fn merge(&self, news: impl IntoIterator<Item = Registration>, origin: Origin) {
-        let changed: Vec<_> = self.read_mut(|registry| {
-            news.into_iter().filter_map(|endpoint| registry.merge(endpoint, origin)).collect()
+    /// Merges updates of endpoints; notifies listeners if something changed.
+    pub fn merge(&self, updates: impl IntoIterator<Item = Registration>, origin: Origin) {
+        let changed: Vec<_> = self.modify(|registry| {
+            updates.into_iter().filter_map(|endpoint| registry.merge(endpoint, origin)).collect()
         });
         log_changed(&changed);
     }
 
-    /// Takes in what an endpoint said here, if that may be by what is known at that moment.
-    pub fn merge_if(&self, news: Registration, may_be: impl FnOnce(&Registry) -> bool) {
-        let changed = self.read_mut(|registry| {
-            may_be(registry).then(|| registry.merge(news, Origin::Direct)).flatten()
+    /// Merges an update that an endpoint sent to this process, if `is_allowed` holds for the
+    /// registry under the same lock.
+    pub fn merge_if(&self, update: Registration, is_allowed: impl FnOnce(&Registry) -> bool) {
+        let changed = self.modify(|registry| {
+            is_allowed(registry).then(|| registry.merge(update, Origin::Direct)).flatten()
         });
         log_changed(changed.as_slice());
     }
 
-    /// Starts of endpoints were heard to leave by other words than a registration. Returns
-    /// whether any was known to take work.
+    /// Records starts that are leaving, as reported by other means than a registration.
+    /// Returns whether any of them was recorded as taking work.
     pub fn record_leaving(&self, starts: &[EndpointStart], origin: Origin) -> bool {
-        let changed: Vec<_> = self.read_mut(|registry| {
+        let changed: Vec<_> = self.modify(|registry| {
             starts.iter().filter_map(|start| registry.record_leaving(start, origin)).collect()
         });
         log_changed(&changed);
         !changed.is_empty()
     }
 
-    /// Endpoints take no more work since a roll-out ended.
-    pub fn retire(&self, retired: Retirement<'_>) {
-        let number = self.read_mut(|registry| registry.retire(retired));
-        log::info!("registry: {number} endpoints are retired: {retired:?}");
+    /// Retires endpoints because a roll-out ended: they take no more work.
+    pub fn retire(&self, retirement: Retirement<'_>) {
+        let number = self.modify(|registry| registry.retire(retirement));
+        log::info!("registry: retired {number} endpoints: {retirement:?}");
     }
 
-    /// Adopts newer orders about data halls.
+    /// Adopts the drained data halls, if their revision is newer.
     pub fn adopt_drained(self: &Arc<Self>, drained: DrainedHalls) {
         let names = drained.names().collect::<Vec<_>>().join(", ");
         let revision = drained.revision();
-        if !self.read_mut(|registry| registry.adopt_drained(drained)) {
+        if !self.modify(|registry| registry.adopt_drained(drained)) {
             return;
         }
         log::info!("registry: drained data halls are [{names}], revision {revision}");
         let registry = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(RESTORED_FOR).await;
-            registry.read_mut(|registry| registry.forget_restored(revision));
+            tokio::time::sleep(RESTORED_PERIOD).await;
+            registry.modify(|registry| registry.forget_restored(revision));
         });
     }
 
-    /// Takes in endpoints that took work before a restart, for as long as it may take
-    /// them to say so themselves.
+    /// Adds endpoints that took work before a restart, for as long as it may take them to
+    /// register again.
     pub fn remember(self: &Arc<Self>, endpoints: Vec<Registration>) {
-        log::info!("registry: {} endpoints are remembered", endpoints.len());
-        self.read_mut(|registry| registry.remember(endpoints));
+        log::info!(
+            "registry: {} remembered endpoints count as ready until they register",
+            endpoints.len()
+        );
+        self.modify(|registry| registry.remember(endpoints));
         let registry = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(REMEMBERED_FOR).await;
-            let unheard = registry.read_mut(Registry::forget_remembered);
-            if unheard > 0 {
-                log::info!("registry: {unheard} remembered endpoints were not heard, forgotten");
+            tokio::time::sleep(REMEMBERED_PERIOD).await;
+            let unconfirmed = registry.modify(Registry::forget_remembered);
+            if unconfirmed > 0 {
+                log::info!("registry: removed {unconfirmed} endpoints that did not register again");
             }
         });
     }
 
-    /// Works on the registry, and tells listeners of its last change.
-    fn read_mut<T>(&self, f: impl FnOnce(&mut Registry) -> T) -> T {
+    /// Modifies the registry and notifies listeners of its last change.
+    fn modify<T>(&self, f: impl FnOnce(&mut Registry) -> T) -> T {
         let mut registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let result = f(&mut registry);
         let last = registry.last_change();
-        self.changes.send_if_modified(|told| std::mem::replace(told, last) != last);
+        self.changes.send_if_modified(|announced| std::mem::replace(announced, last) != last);
         result
     }
 
-    /// Looks at the registry.
+    /// Reads the registry under its lock.
     pub fn read<T>(&self, f: impl FnOnce(&Registry) -> T) -> T {
         f(&self.registry.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Tells of each change, by its number.
+    /// A receiver of the number of the last change.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
@@ -118,7 +123,7 @@
         let (id, service, state, call) = (&e.id, &e.service, e.state, e.sequence);
         format!("{id} of {service} is {state:?}, call {call}, cold {} ms", e.warmup_ms)
     };
-    let named: Vec<_> = changed.iter().take(MOST_NAMED).map(describe).collect();
+    let named: Vec<_> = changed.iter().take(MAX_NAMED).map(describe).collect();
     if !named.is_empty() {
         log::info!("registry: {} endpoints changed: {}", changed.len(), named.join("; "));
     }
--- a/src/registry/start.rs
+++ b/src/registry/start.rs
@@ -5,18 +5,18 @@
 use super::Registration;
 use crate::notice::StartAt;
 
-/// One start of an endpoint: it may start again under the same id, and then knows nothing
-/// of before.
+/// One start of an endpoint: it may start again under the same id, and then keeps no state
+/// from before.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointStart {
     /// The endpoint's id.
     pub id: String,
-    /// When it started, in milliseconds since the epoch; 0 where that is not known.
+    /// Time of the start, in milliseconds since the epoch; 0 if unknown.
     pub started_at_ms: u64,
 }
 
 impl EndpointStart {
-    /// The start that a registration tells of.
+    /// The start that a registration belongs to.
     pub fn of(endpoint: &Registration) -> EndpointStart {
         EndpointStart { id: endpoint.id.clone(), started_at_ms: endpoint.started_at_ms }
     }
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -1,59 +1,60 @@
-//! What is known of each endpoint, without I/O.
+//! The records of all endpoints, without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use super::known::{Known, count_as_cold};
+use super::known::{EndpointRecord, count_as_cold};
 use super::{DrainedHalls, EndpointStart, Retirement};
 
-/// Endpoints that are gone are remembered up to this number, so that a late
-/// message does not bring one back.
-const KEPT_GONE: usize = 4_096;
+/// Maximum number of ended endpoints that are kept, so that a late message does not bring
+/// one back.
+const MAX_GONE: usize = 4_096;
 
-/// How far an endpoint's life has come. The order is that of life.
+/// State of an endpoint. The variants are in the order in which an endpoint passes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It takes work.
+    /// It takes new work.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its running requests and takes no new ones.
     Leaving,
     /// It has ended.
     Gone,
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's report on itself, sent with each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Its id. It may start again under the same one: see `started_at_ms`.
+    /// Its id, which stays the same when it starts again: see `started_at_ms`.
     pub id: String,
-    /// When it started, in milliseconds since the epoch; 0 where it does not say. The
-    /// higher of two is the later start, which knows nothing of the earlier one.
+    /// Time of its start, in milliseconds since the epoch; 0 if not reported. The higher of
+    /// two is the later start, which keeps no state of the earlier one.
     pub started_at_ms: u64,
     /// The service that it belongs to.
     pub service: String,
-    /// The release of its software; empty where it does not say.
+    /// The release of its software; empty if not reported.
     pub version: String,
-    /// Where it listens; none when only its end is known.
+    /// The address on which it listens; none if only its end is known.
     pub address: Option<SocketAddr>,
     /// Its data hall.
     pub hall: String,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// How far its life has come.
+    /// Its state.
     pub state: EndpointState,
-    /// Milliseconds for which it is still slow after its start.
+    /// Milliseconds for which it is still warming up after its start.
     pub warmup_ms: u64,
-    /// Rises with each of its calls.
+    /// Rises with each of its heartbeats.
     pub sequence: u64,
-    /// How often this start was taken to have ended and went on calling: an end names no
-    /// start. Of two the higher is the later news. Only the registry counts it.
+    /// How often this start was recorded as ended and then found to be still running, as an
+    /// end does not name its start. The higher of two is the later update. Only the registry
+    /// sets it.
     pub revivals: u32,
 }
 
 impl Registration {
-    /// The end of an endpoint of which nothing else need be known.
+    /// The end of an endpoint, without its other fields.
     pub fn gone(id: &str) -> Registration {
         Registration {
             id: id.to_string(),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether others need to hear of the step from `before` to this.
+    /// Whether the change from `before` to this must be sent to other processes.
     fn differs_from(&self, before: &Registration) -> bool {
         let of = |r: &Registration| {
             (r.started_at_ms, r.revivals, r.state, r.address, r.slots, r.warmup_ms > 0)
@@ -82,22 +83,22 @@
     }
 }
 
-/// From whom news of an endpoint came.
+/// Source of an update of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The endpoint called here.
+    /// The endpoint sent it to this process.
     Direct,
-    /// Another process passed it on.
+    /// Another process forwarded it.
     Relayed,
 }
 
-/// Which changes a listener wants.
+/// Changes that a listener receives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Scope {
     /// All of them.
     #[default]
     All,
-    /// Those that endpoints themselves said here.
+    /// Those that endpoints themselves sent to this process.
     Direct,
 }
 
@@ -106,150 +107,153 @@
 pub struct Changes {
     /// Number of the last change that is contained.
     pub upto: u64,
-    /// The endpoints as they are now.
+    /// The current registrations of the endpoints.
     pub endpoints: Vec<Registration>,
 }
 
-/// All endpoints that were heard of.
+/// All known endpoints, and the drained data halls.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    endpoints: BTreeMap<String, Known>,
-    /// Endpoints by the number of their last change. What was told before is looked up
-    /// here, so that who reads slowly costs no memory.
+    endpoints: BTreeMap<String, EndpointRecord>,
+    /// Endpoint ids by the number of their last change. Changes are read from here, so that
+    /// a slow listener costs no memory.
     by_change: BTreeMap<u64, String>,
     last_change: u64,
-    /// Endpoints that took work before this host restarted, and have not been heard
-    /// since.
+    /// Endpoints that took work before this host restarted, and have not registered since.
     remembered: BTreeMap<String, Registration>,
+    /// Ids of ended endpoints, the earliest end first.
     gone: std::collections::VecDeque<String>,
     drained: DrainedHalls,
-    /// Data halls taken back a moment ago. What is learnt of their endpoints now may
-    /// have been said before they turned cold.
+    /// Data halls restored a short time ago. Updates of their endpoints received now may have
+    /// been sent before the endpoints turned cold.
     just_restored: BTreeSet<String>,
 }
 
 impl Registry {
-    /// Takes in what an endpoint said, directly or through another process.
-    /// Returns what is known now if it differs in what routing looks at.
-    pub fn merge(&mut self, mut news: Registration, origin: Origin) -> Option<Registration> {
+    /// Merges an update, received from the endpoint or through another process. Returns the
+    /// current registration if it changed in a field that routing uses.
+    pub fn merge(&mut self, mut update: Registration, origin: Origin) -> Option<Registration> {
         let direct = origin == Origin::Direct;
-        if direct && let Some(known) = self.get(&news.id) {
-            if news.address.is_none() {
-                // Who says only that it ends is taken to mean the start that is known.
-                news.started_at_ms = known.started_at_ms;
+        if direct && let Some(known) = self.get(&update.id) {
+            if update.address.is_none() {
+                // An end without a start counts as that of the recorded start.
+                update.started_at_ms = known.started_at_ms;
             }
-            if news.started_at_ms == known.started_at_ms {
-                news.revivals = known.revivals;
+            if update.started_at_ms == known.started_at_ms {
+                update.revivals = known.revivals;
             }
         }
-        if !self.replaces_remembered(&news) {
+        if !self.replaces_remembered(&update) {
             return None;
         }
-        let is_doubtful = self.just_restored.contains(&news.hall);
-        let Some(known) = self.endpoints.get_mut(&news.id) else {
-            let mut known = Known::new(news, direct);
-            if is_doubtful {
-                known.doubt();
+        let may_be_cold = self.just_restored.contains(&update.hall);
+        let Some(record) = self.endpoints.get_mut(&update.id) else {
+            let mut record = EndpointRecord::new(update, direct);
+            if may_be_cold {
+                record.presume_cold();
             }
-            let now = known.said.clone();
-            self.endpoints.insert(now.id.clone(), known);
-            return Some(self.changed(now));
+            let current = record.registration.clone();
+            self.endpoints.insert(current.id.clone(), record);
+            return Some(self.record_change(current));
         };
-        let before = known.said.clone();
-        if known.hear(news, origin) && is_doubtful {
-            known.doubt();
+        let before = record.registration.clone();
+        if record.merge(update, origin) && may_be_cold {
+            record.presume_cold();
         }
-        let now = known.said.clone();
-        if !now.differs_from(&before) {
+        let current = record.registration.clone();
+        if !current.differs_from(&before) {
             return None;
         }
-        known.direct = direct;
+        record.direct = direct;
         if before.state == EndpointState::Gone {
-            self.gone.retain(|id| *id != now.id);
+            self.gone.retain(|id| *id != current.id);
         }
-        Some(self.changed(now))
+        Some(self.record_change(current))
     }
 
-    /// One start of an endpoint was heard to leave by other words than a registration.
-    /// Returns what is known now, if this start was known to take work.
+    /// Records a start that is leaving, as reported by other means than a registration.
+    /// Returns the current registration, if this start was recorded as taking work.
     pub fn record_leaving(
         &mut self,
         start: &EndpointStart,
         origin: Origin,
     ) -> Option<Registration> {
         let known = self.get(&start.id)?;
-        let is_meant = known.started_at_ms == start.started_at_ms;
-        if !is_meant || known.state != EndpointState::Ready {
+        let is_same_start = known.started_at_ms == start.started_at_ms;
+        if !is_same_start || known.state != EndpointState::Ready {
             return None;
         }
         let leaving = Registration { state: EndpointState::Leaving, ..known.clone() };
         self.merge(leaving, origin)
     }
 
-    /// At most so many endpoints that leave.
-    pub fn leaving(&self, most: usize) -> Vec<EndpointStart> {
+    /// At most `limit` endpoints that are leaving.
+    pub fn leaving(&self, limit: usize) -> Vec<EndpointStart> {
         let leaving = self.all().filter(|endpoint| endpoint.state == EndpointState::Leaving);
-        leaving.take(most).map(EndpointStart::of).collect()
+        leaving.take(limit).map(EndpointStart::of).collect()
     }
 
-    /// Whether one start of an endpoint is known to take new work.
+    /// Whether the start of this registration is the recorded one and takes new work.
     pub fn start_takes_work(&self, endpoint: &Registration) -> bool {
         let known = self.get_ready(&endpoint.id);
         known.is_some_and(|known| known.started_at_ms == endpoint.started_at_ms)
     }
 
-    /// Whether news is of no earlier start than what is remembered, which it replaces.
-    fn replaces_remembered(&mut self, news: &Registration) -> bool {
+    /// Whether an update is of no earlier start than the endpoint remembered from before the
+    /// restart; if so, removes the latter.
+    fn replaces_remembered(&mut self, update: &Registration) -> bool {
         if self
             .remembered
-            .get(&news.id)
-            .is_some_and(|before| before.started_at_ms > news.started_at_ms)
+            .get(&update.id)
+            .is_some_and(|before| before.started_at_ms > update.started_at_ms)
         {
             return false;
         }
-        self.remembered.remove(&news.id);
+        self.remembered.remove(&update.id);
         true
     }
 
-    /// Endpoints take no more work since a roll-out ended: they do not say so themselves.
+    /// Retires endpoints because a roll-out ended; they do not report this themselves.
     /// Returns their number.
-    pub fn retire(&mut self, retired: Retirement<'_>) -> usize {
+    pub fn retire(&mut self, retirement: Retirement<'_>) -> usize {
         let before = self.remembered.len();
-        self.remembered.retain(|_, said| !retired.includes(said));
+        self.remembered.retain(|_, registration| !retirement.includes(registration));
         let forgotten = before - self.remembered.len();
         let mut changed = Vec::new();
-        for known in self.endpoints.values_mut().filter(|known| retired.includes(&known.said)) {
-            known.retire(retired.state());
-            changed.push(known.said.clone());
+        for record in
+            self.endpoints.values_mut().filter(|record| retirement.includes(&record.registration))
+        {
+            record.retire(retirement.state());
+            changed.push(record.registration.clone());
         }
         let number = changed.len();
         changed.into_iter().for_each(|endpoint| {
-            self.changed(endpoint);
+            self.record_change(endpoint);
         });
         number + forgotten
     }
 
-    /// An endpoint has changed to `now`: gives the change a number.
-    fn changed(&mut self, now: Registration) -> Registration {
+    /// Numbers the change of an endpoint to the registration `current`, and returns that.
+    fn record_change(&mut self, current: Registration) -> Registration {
         self.last_change += 1;
-        if let Some(known) = self.endpoints.get_mut(&now.id) {
-            self.by_change.remove(&known.change);
-            known.change = self.last_change;
-            self.by_change.insert(self.last_change, now.id.clone());
+        if let Some(record) = self.endpoints.get_mut(&current.id) {
+            self.by_change.remove(&record.change);
+            record.change = self.last_change;
+            self.by_change.insert(self.last_change, current.id.clone());
         }
-        if now.state == EndpointState::Gone {
-            self.remember_gone(&now.id);
+        if current.state == EndpointState::Gone {
+            self.remember_gone(&current.id);
         }
-        now
+        current
     }
 
     fn remember_gone(&mut self, id: &str) {
         self.gone.push_back(id.to_string());
-        if self.gone.len() > KEPT_GONE
+        if self.gone.len() > MAX_GONE
             && let Some(oldest) = self.gone.pop_front()
-            && let Some(known) = self.endpoints.remove(&oldest)
+            && let Some(record) = self.endpoints.remove(&oldest)
         {
-            self.by_change.remove(&known.change);
+            self.by_change.remove(&record.change);
         }
     }
 
@@ -258,48 +262,54 @@
         self.last_change
     }
 
-    /// The first `most` endpoints that changed after change `after`.
-    pub fn changes_after(&self, after: u64, most: usize, scope: Scope) -> Changes {
+    /// The first `limit` endpoints that changed after the change numbered `after`.
+    pub fn changes_after(&self, after: u64, limit: usize, scope: Scope) -> Changes {
         let mut changes = Changes { upto: self.last_change, endpoints: Vec::new() };
         for (number, id) in self.by_change.range(after + 1..) {
-            if changes.endpoints.len() == most {
+            if changes.endpoints.len() == limit {
                 break;
             }
             changes.upto = *number;
-            let known = self.endpoints.get(id).filter(|k| k.direct || scope == Scope::All);
-            changes.endpoints.extend(known.map(|known| known.said.clone()));
+            let record = self.endpoints.get(id).filter(|k| k.direct || scope == Scope::All);
+            changes.endpoints.extend(record.map(|record| record.registration.clone()));
         }
         changes
     }
 
-    /// Adopts newer orders about data halls; returns whether they are newer. Endpoints
-    /// of a hall that is taken back may have turned cold and not yet said so: they
-    /// count as cold until they have said the contrary twice since, those too that are
-    /// learnt of in the next moment.
+    /// Adopts the drained data halls if their revision is newer; returns whether it is.
+    /// Endpoints of a restored hall may have turned cold without having reported it yet: they
+    /// count as cold until they have reported twice that they are warm. This includes
+    /// endpoints learned of until [`Registry::forget_restored`].
     pub fn adopt_drained(&mut self, drained: DrainedHalls) -> bool {
         if drained.revision() <= self.drained.revision() {
             return false;
         }
         let before = std::mem::replace(&mut self.drained, drained);
-        // Orders may have come together: what stood between them was never seen here.
-        let back: BTreeSet<_> = self.drained.restored_after(before.revision()).collect();
+        // Several orders may arrive as one: the halls drained and restored in between were
+        // never seen here.
+        let restored: BTreeSet<_> = self.drained.restored_after(before.revision()).collect();
         self.just_restored.retain(|hall| !self.drained.contains(hall));
-        self.just_restored.extend(back.iter().map(|hall| hall.to_string()));
-        let mut doubted = Vec::new();
-        for known in self.endpoints.values_mut().filter(|k| back.contains(&*k.said.hall)) {
-            known.doubt();
-            doubted.push(known.said.clone());
+        self.just_restored.extend(restored.iter().map(|hall| hall.to_string()));
+        let mut presumed_cold = Vec::new();
+        for record in
+            self.endpoints.values_mut().filter(|k| restored.contains(&*k.registration.hall))
+        {
+            record.presume_cold();
+            presumed_cold.push(record.registration.clone());
         }
-        self.remembered.values_mut().filter(|e| back.contains(&*e.hall)).for_each(count_as_cold);
-        doubted.into_iter().for_each(|endpoint| {
-            self.changed(endpoint);
+        self.remembered
+            .values_mut()
+            .filter(|e| restored.contains(&*e.hall))
+            .for_each(count_as_cold);
+        presumed_cold.into_iter().for_each(|endpoint| {
+            self.record_change(endpoint);
         });
         self.last_change += 1;
         true
     }
 
-    /// Since the order of this revision so much time has passed that what endpoints say
-    /// now they say of the time after it.
+    /// Ends the special treatment of halls restored up to this revision: updates received
+    /// from now on were sent after the order.
     pub fn forget_restored(&mut self, revision: u64) {
         let (drained, just_restored) = (&self.drained, &mut self.just_restored);
         let later: BTreeSet<_> = drained.restored_after(revision).collect();
@@ -311,12 +321,12 @@
         &self.drained
     }
 
-    /// Takes in endpoints that took work before a restart. They count as ready until
-    /// they say something else, or are forgotten.
+    /// Adds endpoints that took work before a restart. They count as ready until they
+    /// register again, or [`Registry::forget_remembered`] removes them.
     pub fn remember(&mut self, endpoints: Vec<Registration>) {
-        let unheard = endpoints.into_iter().filter(|e| !self.endpoints.contains_key(&e.id));
-        let unheard: Vec<_> = unheard.filter(|e| e.state == EndpointState::Ready).collect();
-        for mut endpoint in unheard {
+        let unconfirmed = endpoints.into_iter().filter(|e| !self.endpoints.contains_key(&e.id));
+        let unconfirmed: Vec<_> = unconfirmed.filter(|e| e.state == EndpointState::Ready).collect();
+        for mut endpoint in unconfirmed {
             if self.just_restored.contains(&endpoint.hall) {
                 count_as_cold(&mut endpoint);
             }
@@ -327,39 +337,40 @@
         }
     }
 
-    /// Endpoints that are remembered and were not heard since; returns their number.
+    /// Removes the endpoints remembered from before a restart that have not registered since;
+    /// returns their number.
     pub fn forget_remembered(&mut self) -> usize {
         std::mem::take(&mut self.remembered).len()
     }
 
-    /// Endpoints that are only remembered.
+    /// Endpoints remembered from before a restart that have not registered since.
     pub fn remembered(&self) -> impl Iterator<Item = &Registration> {
         self.remembered.values()
     }
 
-    /// One endpoint.
+    /// The current registration of an endpoint.
     pub fn get(&self, id: &str) -> Option<&Registration> {
-        let known = self.endpoints.get(id).map(|known| &known.said);
-        known.or_else(|| self.remembered.get(id))
+        let record = self.endpoints.get(id).map(|record| &record.registration);
+        record.or_else(|| self.remembered.get(id))
     }
 
-    /// One endpoint, if it takes new work.
+    /// The current registration of an endpoint, if it takes new work.
     pub fn get_ready(&self, id: &str) -> Option<&Registration> {
         self.get(id).filter(|endpoint| self.takes_work(endpoint))
     }
 
-    /// All endpoints, those that are gone included.
+    /// All endpoints that have registered, including ended ones.
     pub fn all(&self) -> impl Iterator<Item = &Registration> {
-        self.endpoints.values().map(|known| &known.said)
+        self.endpoints.values().map(|record| &record.registration)
     }
 
-    /// Endpoints of a service that take work.
+    /// Endpoints of a service that take new work.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Registration> {
         let is_ready = move |r: &&Registration| r.service == service && self.takes_work(r);
         self.all().chain(self.remembered.values()).filter(is_ready)
     }
 
-    /// Whether an endpoint gets new work.
+    /// Whether an endpoint takes new work: it is ready, and its data hall is not drained.
     fn takes_work(&self, endpoint: &Registration) -> bool {
         endpoint.state == EndpointState::Ready && !self.drained.contains(&endpoint.hall)
     }
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -7,7 +7,7 @@
 use super::Origin::{Direct, Relayed};
 use super::*;
 
-fn said(id: &str, sequence: u64, state: EndpointState) -> Registration {
+fn registration(id: &str, sequence: u64, state: EndpointState) -> Registration {
     Registration {
         id: id.into(),
         started_at_ms: 0,
@@ -26,10 +26,10 @@
 #[test]
 fn a_late_heartbeat_does_not_bring_a_leaving_endpoint_back() {
     let mut registry = Registry::default();
-    assert!(registry.merge(said("e", 3, EndpointState::Ready), Direct).is_some());
-    assert!(registry.merge(said("e", 5, EndpointState::Leaving), Direct).is_some());
-    assert!(registry.merge(said("e", 4, EndpointState::Ready), Direct).is_none());
-    assert!(registry.merge(said("e", 9, EndpointState::Ready), Direct).is_none());
+    assert!(registry.merge(registration("e", 3, EndpointState::Ready), Direct).is_some());
+    assert!(registry.merge(registration("e", 5, EndpointState::Leaving), Direct).is_some());
+    assert!(registry.merge(registration("e", 4, EndpointState::Ready), Direct).is_none());
+    assert!(registry.merge(registration("e", 9, EndpointState::Ready), Direct).is_none());
     assert_eq!(registry.ready("llm").count(), 0);
 }
 
@@ -37,24 +37,25 @@
 fn an_endpoint_that_is_gone_never_returns() {
     let mut registry = Registry::default();
     registry.merge(Registration::gone("e"), Direct);
-    assert!(registry.merge(said("e", 9, EndpointState::Ready), Direct).is_none());
+    assert!(registry.merge(registration("e", 9, EndpointState::Ready), Direct).is_none());
     assert_eq!(registry.get("e").unwrap().state, EndpointState::Gone);
 }
 
 #[test]
 fn heartbeats_that_change_nothing_are_not_passed_on() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 1, EndpointState::Ready), Direct);
-    assert!(registry.merge(said("e", 2, EndpointState::Ready), Direct).is_none());
-    let moved = Registration { slots: 32, ..said("e", 3, EndpointState::Ready) };
+    registry.merge(registration("e", 1, EndpointState::Ready), Direct);
+    assert!(registry.merge(registration("e", 2, EndpointState::Ready), Direct).is_none());
+    let moved = Registration { slots: 32, ..registration("e", 3, EndpointState::Ready) };
     assert_eq!(registry.merge(moved, Direct).unwrap().slots, 32);
 }
 
 #[test]
 fn another_release_or_data_hall_of_an_endpoint_is_passed_on() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 1, EndpointState::Ready), Direct);
-    let released = Registration { version: "v2".into(), ..said("e", 2, EndpointState::Ready) };
+    registry.merge(registration("e", 1, EndpointState::Ready), Direct);
+    let released =
+        Registration { version: "v2".into(), ..registration("e", 2, EndpointState::Ready) };
     assert_eq!(registry.merge(released.clone(), Direct), Some(released.clone()));
     let moved = Registration { hall: "b".into(), sequence: 3, ..released };
     assert_eq!(registry.merge(moved.clone(), Direct), Some(moved));
@@ -68,42 +69,42 @@
     ];
     (0u8..3, 0u64..4, 1u64..20, state).prop_map(|(id, started_at_ms, sequence, state)| {
         let slots = (started_at_ms * 100 + sequence) as u32;
-        Registration { slots, started_at_ms, ..said(&id.to_string(), sequence, state) }
+        Registration { slots, started_at_ms, ..registration(&id.to_string(), sequence, state) }
     })
 }
 
 proptest! {
     #![proptest_config(crate::testing::property(128))]
 
-    /// Two processes that heard the same, in any order, agree on who takes work, and on
-    /// what those that have not gone said last.
+    /// Two processes that received the same updates, in any order, agree on which endpoints
+    /// take work, and on the last update of those that have not ended.
     #[test]
-    fn the_order_of_news_does_not_matter(
-        (news, shuffled) in proptest::collection::vec(any_registration(), 0..20)
+    fn the_order_of_updates_does_not_matter(
+        (updates, shuffled) in proptest::collection::vec(any_registration(), 0..20)
             .prop_flat_map(|v| (Just(v.clone()), Just(v).prop_shuffle())),
     ) {
-        let learn = |news: Vec<Registration>| {
+        let merge_all = |updates: Vec<Registration>| {
             let mut registry = Registry::default();
-            for said in news {
-                registry.merge(said, Direct);
+            for update in updates {
+                registry.merge(update, Direct);
             }
             let slots = |r: &Registration| (r.state != EndpointState::Gone).then_some(r.slots);
             let state = |r: &Registration| (r.id.clone(), r.started_at_ms, r.state, slots(r));
             registry.all().map(state).collect::<Vec<_>>()
         };
-        prop_assert_eq!(learn(news), learn(shuffled));
+        prop_assert_eq!(merge_all(updates), merge_all(shuffled));
     }
 }
 
 #[test]
-fn what_is_remembered_counts_until_it_speaks_or_is_forgotten() {
+fn remembered_endpoints_count_until_they_register_or_are_removed() {
     let mut registry = Registry::default();
-    registry.merge(said("left", 3, EndpointState::Leaving), Direct);
+    registry.merge(registration("left", 3, EndpointState::Leaving), Direct);
     let remembered = ["left", "quiet", "back", "leaving"];
-    registry.remember(remembered.map(|id| said(id, 2, EndpointState::Ready)).into());
-    assert_eq!(registry.ready("llm").count(), 3, "one had said that it leaves");
-    assert!(registry.merge(said("back", 3, EndpointState::Ready), Direct).is_some());
-    assert!(registry.merge(said("leaving", 3, EndpointState::Leaving), Direct).is_some());
+    registry.remember(remembered.map(|id| registration(id, 2, EndpointState::Ready)).into());
+    assert_eq!(registry.ready("llm").count(), 3, "one had reported that it is leaving");
+    assert!(registry.merge(registration("back", 3, EndpointState::Ready), Direct).is_some());
+    assert!(registry.merge(registration("leaving", 3, EndpointState::Leaving), Direct).is_some());
     assert_eq!(registry.ready("llm").count(), 2);
     assert_eq!(registry.get("quiet").unwrap().sequence, 2);
     assert_eq!(registry.forget_remembered(), 1);
@@ -112,10 +113,13 @@
 }
 
 #[test]
-fn saved_endpoints_are_found_again_and_damage_is_passed_over() {
+fn saved_endpoints_are_loaded_again_and_damaged_files_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
     assert!(saved::load(folder.path()).is_empty());
-    let endpoints = vec![said("a", 2, EndpointState::Ready), said("b", 7, EndpointState::Ready)];
+    let endpoints = vec![
+        registration("a", 2, EndpointState::Ready),
+        registration("b", 7, EndpointState::Ready),
+    ];
     saved::save(folder.path(), &endpoints[..1]).unwrap();
     saved::save(folder.path(), &endpoints).unwrap();
     assert_eq!(saved::load(folder.path()), endpoints);
@@ -130,9 +134,9 @@
 }
 
 #[test]
-fn saved_endpoints_without_a_format_are_passed_over() {
+fn saved_endpoints_without_a_format_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
-    let endpoints = vec![said("a", 2, EndpointState::Ready)];
+    let endpoints = vec![registration("a", 2, EndpointState::Ready)];
     let unformatted = crate::store::sealed::seal(&endpoints).unwrap();
     std::fs::write(folder.path().join("endpoints"), unformatted).unwrap();
     assert!(saved::load(folder.path()).is_empty());
@@ -147,20 +151,22 @@
 #[test]
 fn endpoints_of_a_drained_hall_get_no_new_work() {
     let mut registry = Registry::default();
-    registry.merge(said("a1", 1, EndpointState::Ready), Direct);
-    registry
-        .merge(Registration { hall: "b".into(), ..said("b1", 1, EndpointState::Ready) }, Direct);
+    registry.merge(registration("a1", 1, EndpointState::Ready), Direct);
+    registry.merge(
+        Registration { hall: "b".into(), ..registration("b1", 1, EndpointState::Ready) },
+        Direct,
+    );
     assert!(registry.adopt_drained(drained(&["a"])));
     let ready: Vec<_> = registry.ready("llm").map(|r| r.id.as_str()).collect();
     assert_eq!(ready, ["b1"]);
     assert!(registry.get_ready("a1").is_none());
-    assert!(registry.get("a1").is_some(), "what runs there ends there");
-    registry.merge(said("a2", 1, EndpointState::Ready), Direct);
-    assert!(registry.get_ready("a2").is_none(), "nor those that come later");
+    assert!(registry.get("a1").is_some(), "running requests finish there");
+    registry.merge(registration("a2", 1, EndpointState::Ready), Direct);
+    assert!(registry.get_ready("a2").is_none(), "endpoints that register later get no work either");
 }
 
 #[test]
-fn an_older_order_about_halls_changes_nothing() {
+fn an_older_revision_of_drained_halls_changes_nothing() {
     let mut registry = Registry::default();
     let mut newer = drained(&["a", "b"]);
     newer.restore("b");
@@ -170,7 +176,7 @@
 }
 
 #[test]
-fn an_order_given_twice_is_one_order() {
+fn a_repeated_order_changes_nothing() {
     let mut halls = drained(&["a"]);
     let once = halls.clone();
     halls.drain("a");
@@ -179,39 +185,39 @@
 }
 
 #[test]
-fn endpoints_of_a_hall_taken_back_count_as_cold_until_they_say_twice_that_they_are_not() {
+fn endpoints_of_a_restored_hall_count_as_cold_until_they_report_twice_that_they_are_warm() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 7, EndpointState::Ready), Direct);
+    registry.merge(registration("e", 7, EndpointState::Ready), Direct);
     let mut halls = drained(&["a"]);
     registry.adopt_drained(halls.clone());
     halls.restore("a");
     registry.adopt_drained(halls);
     assert!(registry.get("e").unwrap().warmup_ms > 0);
-    // The first may have been sent before it turned cold.
-    registry.merge(said("e", 8, EndpointState::Ready), Direct);
+    // The first heartbeat may have been sent before it turned cold.
+    registry.merge(registration("e", 8, EndpointState::Ready), Direct);
     assert!(registry.get("e").unwrap().warmup_ms > 0);
     assert!(
-        registry.merge(said("e", 9, EndpointState::Ready), Direct).is_some(),
-        "others hear of it"
+        registry.merge(registration("e", 9, EndpointState::Ready), Direct).is_some(),
+        "the change is sent to others"
     );
     assert_eq!(registry.get("e").unwrap().warmup_ms, 0);
 }
 
 #[test]
-fn an_endpoint_that_turns_cold_again_is_news() {
+fn an_endpoint_that_turns_cold_again_is_a_change() {
     let mut registry = Registry::default();
     let cold = |sequence, warmup_ms| Registration {
         warmup_ms,
-        ..said("e", sequence, EndpointState::Ready)
+        ..registration("e", sequence, EndpointState::Ready)
     };
     registry.merge(cold(1, 900), Direct);
     assert!(registry.merge(cold(2, 300), Direct).is_none());
-    assert!(registry.merge(cold(3, 3_000), Direct).is_some(), "it starts anew");
+    assert!(registry.merge(cold(3, 3_000), Direct).is_some(), "it restarted");
     assert!(registry.merge(cold(4, 0), Direct).is_some());
 }
 
-/// A listener that reads a part now and then ends with what the registry knows, however
-/// far it was behind, and reads each endpoint once for many changes of it.
+/// A listener that reads in small parts ends with the current state, however far it was
+/// behind, and reads an endpoint that changed many times only once.
 #[test]
 fn changes_are_read_in_parts_and_each_endpoint_once() {
     let mut registry = Registry::default();
@@ -219,28 +225,31 @@
         for id in 0..50 {
             let slots = round as u32;
             let state = EndpointState::Ready;
-            registry.merge(Registration { slots, ..said(&id.to_string(), round, state) }, Direct);
+            registry.merge(
+                Registration { slots, ..registration(&id.to_string(), round, state) },
+                Direct,
+            );
         }
     }
     assert_eq!(registry.last_change(), 5_000);
-    let mut told = 0;
+    let mut last_read = 0;
     let mut read = Vec::new();
-    while told < registry.last_change() {
-        let changes = registry.changes_after(told, 7, Scope::All);
+    while last_read < registry.last_change() {
+        let changes = registry.changes_after(last_read, 7, Scope::All);
         assert!(changes.endpoints.len() <= 7);
-        told = changes.upto;
+        last_read = changes.upto;
         read.extend(changes.endpoints);
     }
     assert_eq!(read.len(), 50);
     assert!(read.iter().all(|endpoint| endpoint.slots == 100));
-    assert!(registry.changes_after(told, 7, Scope::All).endpoints.is_empty());
+    assert!(registry.changes_after(last_read, 7, Scope::All).endpoints.is_empty());
 }
 
 #[test]
-fn who_wants_first_hand_news_is_not_told_what_others_passed_on() {
+fn listeners_for_direct_changes_do_not_receive_relayed_ones() {
     let mut registry = Registry::default();
-    registry.merge(said("here", 1, EndpointState::Ready), Direct);
-    registry.merge(said("elsewhere", 1, EndpointState::Ready), Relayed);
+    registry.merge(registration("here", 1, EndpointState::Ready), Direct);
+    registry.merge(registration("elsewhere", 1, EndpointState::Ready), Relayed);
     let ids = |registry: &Registry, scope| {
         let changes = registry.changes_after(0, 10, scope);
         assert_eq!(changes.upto, registry.last_change());
@@ -248,17 +257,21 @@
     };
     assert_eq!(ids(&registry, Scope::All), ["here", "elsewhere"]);
     assert_eq!(ids(&registry, Scope::Direct), ["here"]);
-    // It calls here the next time.
-    registry.merge(said("elsewhere", 2, EndpointState::Leaving), Direct);
+    // Its next heartbeat comes directly.
+    registry.merge(registration("elsewhere", 2, EndpointState::Leaving), Direct);
     assert_eq!(ids(&registry, Scope::Direct), ["here", "elsewhere"]);
 }
 
-fn of_release(id: &str, version: &str, started_at_ms: u64) -> Registration {
-    Registration { version: version.into(), started_at_ms, ..said(id, 1, EndpointState::Ready) }
+fn registration_of_release(id: &str, version: &str, started_at_ms: u64) -> Registration {
+    Registration {
+        version: version.into(),
+        started_at_ms,
+        ..registration(id, 1, EndpointState::Ready)
+    }
 }
 
 /// A roll-out of `llm` that ended at 1,000 ms.
-fn ended(releases: RetiredReleases<'_>, seen_in_progress: bool) -> Retirement<'_> {
+fn retirement(releases: RetiredReleases<'_>, seen_in_progress: bool) -> Retirement<'_> {
     Retirement { service: "llm", releases, at_ms: 1_000, seen_in_progress }
 }
 
@@ -269,46 +282,58 @@
 #[test]
 fn endpoints_of_other_releases_are_retired_and_later_ones_are_not() {
     let mut registry = Registry::default();
-    for endpoint in [of_release("old", "v1", 100), of_release("new", "v2", 900)] {
+    for endpoint in
+        [registration_of_release("old", "v1", 100), registration_of_release("new", "v2", 900)]
+    {
         registry.merge(endpoint, Direct);
     }
-    let other = Registration { service: "app".into(), ..of_release("app", "v1", 100) };
+    let other = Registration { service: "app".into(), ..registration_of_release("app", "v1", 100) };
     registry.merge(other, Direct);
     let before = registry.last_change();
-    assert_eq!(registry.retire(ended(RetiredReleases::AllBut("v2"), true)), 1);
+    assert_eq!(registry.retire(retirement(RetiredReleases::AllBut("v2"), true)), 1);
     assert_eq!(registry.changes_after(before, 9, Scope::All).endpoints[0].id, "old");
-    // A heartbeat that was under way does not bring it back.
-    registry.merge(Registration { sequence: 9, ..of_release("old", "v1", 100) }, Direct);
-    // An ordinary replacement brings the next release later.
-    registry.merge(of_release("next", "v3", 1_500), Direct);
+    // A heartbeat that was in flight does not bring it back.
+    registry
+        .merge(Registration { sequence: 9, ..registration_of_release("old", "v1", 100) }, Direct);
+    // The next release is deployed later.
+    registry.merge(registration_of_release("next", "v3", 1_500), Direct);
     assert_eq!(ready_ids(&registry), ["new", "next"]);
     assert_eq!(registry.ready("app").count(), 1);
 }
 
-/// A host that was down learns the end of a roll-out from its log, after the endpoints.
+/// A host that was down reads the end of a roll-out from its log after the endpoints have
+/// registered.
 #[test]
-fn endpoints_that_started_after_the_end_are_not_retired_by_a_host_that_learns_of_it_late() {
+fn endpoints_that_started_after_the_end_are_not_retired_by_a_host_that_reads_of_it_late() {
     let mut registry = Registry::default();
-    registry.remember(vec![of_release("a", "v1", 100), of_release("b", "v3", 1_500)]);
-    for endpoint in [of_release("next", "v3", 1_500), of_release("silent", "v3", 0)] {
+    registry.remember(vec![
+        registration_of_release("a", "v1", 100),
+        registration_of_release("b", "v3", 1_500),
+    ]);
+    for endpoint in
+        [registration_of_release("next", "v3", 1_500), registration_of_release("silent", "v3", 0)]
+    {
         registry.merge(endpoint, Direct);
     }
-    assert_eq!(registry.retire(ended(RetiredReleases::AllBut("v2"), false)), 1);
+    assert_eq!(registry.retire(retirement(RetiredReleases::AllBut("v2"), false)), 1);
     assert_eq!(ready_ids(&registry), ["next", "silent", "b"]);
 }
 
-/// The next order names another release; the endpoints of the bad one may still be there.
+/// The next roll-out is of another release; endpoints of the bad one may still be running.
 #[test]
-fn endpoints_of_a_release_that_was_rolled_back_get_nothing_more_until_they_start_again() {
+fn endpoints_of_a_release_that_was_rolled_back_get_no_work_until_they_restart() {
     let mut registry = Registry::default();
-    for endpoint in [of_release("old", "v1", 100), of_release("bad", "v2", 900)] {
+    for endpoint in
+        [registration_of_release("old", "v1", 100), registration_of_release("bad", "v2", 900)]
+    {
         registry.merge(endpoint, Direct);
     }
-    assert_eq!(registry.retire(ended(RetiredReleases::Only("v2"), true)), 1);
-    registry.merge(Registration { sequence: 9, ..of_release("bad", "v2", 900) }, Direct);
+    assert_eq!(registry.retire(retirement(RetiredReleases::Only("v2"), true)), 1);
+    registry
+        .merge(Registration { sequence: 9, ..registration_of_release("bad", "v2", 900) }, Direct);
     assert_eq!(ready_ids(&registry), ["old"]);
     assert_eq!(registry.get("bad").unwrap().state, EndpointState::Leaving);
-    // It leaves as any other, and comes back when it starts again.
-    registry.merge(of_release("bad", "v2", 2_000), Direct);
+    // It takes work again after a restart.
+    registry.merge(registration_of_release("bad", "v2", 2_000), Direct);
     assert_eq!(ready_ids(&registry), ["bad", "old"]);
 }
--- a/src/registry/tests/halls.rs
+++ b/src/registry/tests/halls.rs
@@ -1,9 +1,9 @@
-//! Data halls that are taken back: their endpoints may have turned cold and not said so.
+//! Restored data halls: their endpoints may have turned cold without having reported it.
 
 use super::*;
 
-/// The halls after hall `a` was drained and taken back.
-fn taken_back() -> DrainedHalls {
+/// The drained halls after hall `a` was drained and restored.
+fn restored_hall() -> DrainedHalls {
     let mut halls = drained(&["a"]);
     halls.restore("a");
     halls
@@ -14,64 +14,64 @@
 }
 
 #[test]
-fn endpoints_count_as_cold_where_both_orders_are_learnt_at_once() {
+fn endpoints_count_as_cold_when_both_orders_arrive_at_once() {
     let mut registry = Registry::default();
-    registry.merge(said("e", 7, EndpointState::Ready), Direct);
-    assert!(registry.adopt_drained(taken_back()));
-    assert!(is_cold(&registry), "a host just started never saw the hall drained");
+    registry.merge(registration("e", 7, EndpointState::Ready), Direct);
+    assert!(registry.adopt_drained(restored_hall()));
+    assert!(is_cold(&registry), "a host that just started never saw the hall drained");
 }
 
 #[test]
-fn remembered_endpoints_count_as_cold_when_their_hall_is_taken_back() {
+fn remembered_endpoints_count_as_cold_when_their_hall_is_restored() {
     let mut registry = Registry::default();
-    registry.remember(vec![said("e", 7, EndpointState::Ready)]);
+    registry.remember(vec![registration("e", 7, EndpointState::Ready)]);
     registry.adopt_drained(drained(&["a"]));
-    registry.adopt_drained(taken_back());
+    registry.adopt_drained(restored_hall());
     assert!(is_cold(&registry));
-    registry.remember(vec![said("f", 7, EndpointState::Ready)]);
-    assert!(is_cold(&registry), "what another host remembers is no newer");
+    registry.remember(vec![registration("f", 7, EndpointState::Ready)]);
+    assert!(is_cold(&registry), "endpoints that another host remembers are no newer");
 }
 
 #[test]
-fn endpoints_learnt_just_after_their_hall_was_taken_back_count_as_cold() {
+fn endpoints_added_just_after_their_hall_was_restored_count_as_cold() {
     let mut registry = Registry::default();
     registry.adopt_drained(drained(&["a"]));
-    registry.adopt_drained(taken_back());
-    registry.merge(said("e", 7, EndpointState::Ready), Relayed);
+    registry.adopt_drained(restored_hall());
+    registry.merge(registration("e", 7, EndpointState::Ready), Relayed);
     assert!(is_cold(&registry));
-    registry.merge(said("e", 8, EndpointState::Ready), Direct);
-    assert!(is_cold(&registry), "it may have been sent before");
-    registry.merge(said("e", 9, EndpointState::Ready), Direct);
-    assert!(!is_cold(&registry), "it has said so twice");
+    registry.merge(registration("e", 8, EndpointState::Ready), Direct);
+    assert!(is_cold(&registry), "this heartbeat may have been sent before");
+    registry.merge(registration("e", 9, EndpointState::Ready), Direct);
+    assert!(!is_cold(&registry), "it has reported twice that it is warm");
 }
 
 #[test]
-fn endpoints_learnt_long_after_their_hall_was_taken_back_are_believed() {
+fn endpoints_added_long_after_their_hall_was_restored_count_as_reported() {
     let mut registry = Registry::default();
     registry.adopt_drained(drained(&["a"]));
-    registry.adopt_drained(taken_back());
-    registry.forget_restored(taken_back().revision());
-    registry.merge(said("e", 7, EndpointState::Ready), Direct);
+    registry.adopt_drained(restored_hall());
+    registry.forget_restored(restored_hall().revision());
+    registry.merge(registration("e", 7, EndpointState::Ready), Direct);
     assert!(!is_cold(&registry));
 }
 
 #[test]
-fn a_hall_taken_back_later_is_not_forgotten_with_one_before() {
+fn a_hall_restored_again_is_not_forgotten_with_the_earlier_order() {
     let mut registry = Registry::default();
-    registry.adopt_drained(taken_back());
-    let mut halls = taken_back();
+    registry.adopt_drained(restored_hall());
+    let mut halls = restored_hall();
     halls.drain("a");
     halls.restore("a");
     registry.adopt_drained(halls);
-    registry.forget_restored(taken_back().revision());
-    registry.merge(said("e", 7, EndpointState::Ready), Direct);
+    registry.forget_restored(restored_hall().revision());
+    registry.merge(registration("e", 7, EndpointState::Ready), Direct);
     assert!(is_cold(&registry));
 }
 
 #[test]
-fn the_highest_number_of_a_call_does_not_overflow_when_its_hall_is_taken_back() {
+fn the_highest_sequence_number_does_not_overflow_when_its_hall_is_restored() {
     let mut registry = Registry::default();
-    registry.merge(said("e", u64::MAX, EndpointState::Ready), Direct);
-    registry.adopt_drained(taken_back());
+    registry.merge(registration("e", u64::MAX, EndpointState::Ready), Direct);
+    registry.adopt_drained(restored_hall());
     assert!(is_cold(&registry));
 }
--- a/src/registry/tests/starts.rs
+++ b/src/registry/tests/starts.rs
@@ -1,9 +1,9 @@
-//! Endpoints that start again under their id.
+//! Endpoints that restart under the same id.
 
 use super::*;
 
 fn started(started_at_ms: u64, sequence: u64, state: EndpointState) -> Registration {
-    Registration { started_at_ms, ..said("e", sequence, state) }
+    Registration { started_at_ms, ..registration("e", sequence, state) }
 }
 
 fn ready(registry: &Registry) -> Option<(u64, u64)> {
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn a_later_start_takes_work_whatever_the_earlier_one_said() {
+fn a_later_start_takes_work_whatever_the_earlier_one_reported() {
     for end in [EndpointState::Ready, EndpointState::Leaving, EndpointState::Gone] {
         let mut registry = Registry::default();
         registry.merge(started(1_000, 50, EndpointState::Ready), Direct);
         registry.merge(started(1_000, 60, end), Direct);
         let again = registry.merge(started(2_000, 1, EndpointState::Ready), Direct);
-        assert!(again.is_some(), "others hear of it after {end:?}");
+        assert!(again.is_some(), "the change is sent to others after {end:?}");
         assert_eq!(ready(&registry), Some((2_000, 1)));
     }
 }
@@ -34,32 +34,32 @@
 }
 
 #[test]
-fn an_end_without_a_start_ends_the_one_that_is_known() {
+fn an_end_without_a_start_ends_the_recorded_one() {
     let mut registry = Registry::default();
     registry.merge(started(1_000, 5, EndpointState::Ready), Direct);
     let end = Registration { started_at_ms: 1_500, ..Registration::gone("e") };
-    let gone = registry.merge(end, Direct).expect("others hear of it");
+    let gone = registry.merge(end, Direct).expect("the change is sent to others");
     assert_eq!((gone.started_at_ms, gone.state), (1_000, EndpointState::Gone));
     assert_eq!(registry.merge(started(1_000, 6, EndpointState::Ready), Direct), None);
     registry.merge(started(1_200, 1, EndpointState::Ready), Direct);
-    assert_eq!(ready(&registry), Some((1_200, 1)), "it started before the end was heard");
+    assert_eq!(ready(&registry), Some((1_200, 1)), "it started before the end was received");
 }
 
 #[test]
-fn an_end_of_which_no_start_is_known_ends_all_up_to_it() {
+fn an_end_without_a_recorded_start_ends_all_starts_up_to_it() {
     let mut registry = Registry::default();
     let end = Registration { started_at_ms: 1_500, ..Registration::gone("e") };
     registry.merge(end.clone(), Direct);
     assert_eq!(registry.merge(started(1_400, 9, EndpointState::Ready), Direct), None);
     registry.merge(started(1_600, 1, EndpointState::Ready), Direct);
     assert_eq!(ready(&registry), Some((1_600, 1)));
-    // Another process passes the end on late.
+    // Another process relays the end late.
     assert_eq!(registry.merge(end, Relayed), None);
     assert_eq!(ready(&registry), Some((1_600, 1)));
 }
 
 #[test]
-fn a_new_start_is_as_cold_as_it_says() {
+fn a_new_start_is_as_cold_as_it_reports() {
     let mut registry = Registry::default();
     registry.merge(started(1_000, 7, EndpointState::Ready), Direct);
     let mut halls = drained(&["a"]);
@@ -73,11 +73,11 @@
     let cold = Registration { warmup_ms: 900, ..started(3_000, 1, EndpointState::Ready) };
     registry.merge(cold, Direct);
     registry.merge(started(3_000, 2, EndpointState::Ready), Direct);
-    assert_eq!(registry.get("e").unwrap().warmup_ms, 0, "it says so itself");
+    assert_eq!(registry.get("e").unwrap().warmup_ms, 0, "it reports that it is warm");
 }
 
 #[test]
-fn of_remembered_starts_the_latest_counts() {
+fn the_latest_of_remembered_starts_counts() {
     let mut registry = Registry::default();
     registry.remember(vec![started(2_000, 4, EndpointState::Ready)]);
     registry.remember(vec![started(1_000, 90, EndpointState::Ready)]);
@@ -89,9 +89,9 @@
     assert_eq!(ready(&registry), Some((3_000, 1)));
 }
 
-/// Those that are gone are forgotten in order; one that started again is not gone.
+/// Ended endpoints are removed in order; one that restarted is not among them.
 #[test]
-fn an_endpoint_that_started_again_is_not_forgotten_with_those_that_are_gone() {
+fn an_endpoint_that_restarted_is_not_removed_with_ended_ones() {
     let mut registry = Registry::default();
     registry.merge(started(1_000, 1, EndpointState::Gone), Direct);
     registry.merge(started(2_000, 1, EndpointState::Ready), Direct);
@@ -109,10 +109,10 @@
     assert_eq!(saved::load(folder.path()), endpoints);
 }
 
-/// The end of the start before is delayed, and arrives when the later one is known. The later
-/// one calls on and took no more work until it started again.
+/// A delayed end of the earlier start arrives after the later start has registered. The later
+/// one kept sending heartbeats, but got no work until it restarted.
 #[test]
-fn a_start_that_calls_on_after_an_end_takes_work_again() {
+fn a_start_that_keeps_sending_heartbeats_after_an_end_takes_work_again() {
     let mut here = Registry::default();
     let mut elsewhere = Registry::default();
     for sequence in 1..=3 {
@@ -121,24 +121,24 @@
     let gone = here.merge(Registration::gone("e"), Direct).unwrap();
     elsewhere.merge(started(2_000, 2, EndpointState::Ready), Relayed);
     elsewhere.merge(gone, Relayed);
-    // These may have been under way since before the end.
+    // These may have been in flight since before the end.
     for sequence in 4..8 {
         assert_eq!(here.merge(started(2_000, sequence, EndpointState::Ready), Direct), None);
     }
     let revived = here.merge(started(2_000, 8, EndpointState::Ready), Direct).unwrap();
     assert_eq!(ready(&here), Some((2_000, 8)));
-    assert!(elsewhere.merge(revived.clone(), Relayed).is_some(), "others hear of it");
+    assert!(elsewhere.merge(revived.clone(), Relayed).is_some(), "the change is sent to others");
     assert_eq!(ready(&elsewhere), Some((2_000, 8)));
-    // Late news of the end and of the time before it change nothing.
+    // Late updates of the end or from before it change nothing.
     let gone = Registration { state: EndpointState::Gone, revivals: 0, ..revived };
     assert_eq!(elsewhere.merge(gone, Relayed), None);
     assert_eq!(ready(&elsewhere), Some((2_000, 8)));
     here.merge(Registration::gone("e"), Direct);
-    assert_eq!(ready(&here), None, "it may end after all");
+    assert_eq!(ready(&here), None, "a later end counts");
 }
 
 #[test]
-fn whoever_hears_a_start_call_on_revives_it_where_another_took_its_end() {
+fn a_start_is_revived_by_direct_heartbeats_after_another_process_relayed_its_end() {
     let mut registry = Registry::default();
     registry.merge(started(2_000, 2, EndpointState::Leaving), Relayed);
     registry.merge(started(2_000, 2, EndpointState::Gone), Relayed);
@@ -146,7 +146,11 @@
         registry.merge(started(2_000, sequence, EndpointState::Ready), Direct);
     }
     let known = registry.get("e").unwrap();
-    assert_eq!((known.state, known.revivals), (EndpointState::Leaving, 1), "it had said so");
+    assert_eq!(
+        (known.state, known.revivals),
+        (EndpointState::Leaving, 1),
+        "it had reported that it is leaving"
+    );
 }
 
 #[test]
@@ -161,18 +165,18 @@
     assert_eq!(ready(&registry), None);
 }
 
-/// A host that has just started knows no start of the endpoint, and its clock, or that of the
+/// A host that has just started has no record of the endpoint, and its clock, or that of the
 /// endpoint, may be wrong by half a minute.
 #[test]
-fn a_start_that_calls_on_after_an_end_of_which_no_start_is_known_takes_work() {
+fn a_start_that_keeps_sending_heartbeats_after_an_end_without_a_recorded_start_takes_work() {
     let mut here = Registry::default();
     let mut elsewhere = Registry::default();
     let end = Registration { started_at_ms: 60_000, ..Registration::gone("e") };
     elsewhere.merge(started(29_000, 7, EndpointState::Ready), Direct);
     here.merge(end.clone(), Direct);
-    assert!(elsewhere.merge(end.clone(), Relayed).is_some(), "it is ended by every host");
+    assert!(elsewhere.merge(end.clone(), Relayed).is_some(), "every host records the end");
     assert_eq!(ready(&elsewhere), None);
-    // It started again, by its own clock before the end.
+    // It restarted, by its own clock before the end.
     for sequence in 1..5 {
         assert_eq!(here.merge(started(31_000, sequence, EndpointState::Ready), Direct), None);
         assert_eq!(here.merge(started(29_000, 7, EndpointState::Ready), Direct), None);
@@ -182,6 +186,6 @@
     for host in [&mut here, &mut elsewhere] {
         host.merge(again.clone(), Relayed);
         host.merge(end.clone(), Relayed);
-        assert_eq!(ready(host), Some((31_000, 5)), "late news of the end");
+        assert_eq!(ready(host), Some((31_000, 5)), "a late update of the end changes nothing");
     }
 }
