--- a/src/feed.rs
+++ b/src/feed.rs
@@ -24,7 +24,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::quarantine::{CrashReport, QuarantineNews, SharedQuarantine};
+use crate::quarantine::{CrashReport, QuarantineUpdate, SharedQuarantine};
 use crate::registry::{DrainedHalls, EndpointStart, Registration, Scope, SharedRegistry};
 use crate::rollout::{Grants, Report, Rollouts, SharedRollouts};
 use crate::routing::Documents;
@@ -87,7 +87,7 @@
     /// leader only.
     Grants(Grants),
     /// Requests that are refused because they crash endpoints, as it changed.
-    Quarantine(QuarantineNews),
+    Quarantine(QuarantineUpdate),
     /// The answer to [`FeedRequest::Speak`].
     Speaks {
         /// What was asked.
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -203,7 +203,7 @@
             Event::Quarantine => {
                 let now = self.quarantine.borrow_and_update().clone();
                 let told = std::mem::replace(&mut self.quarantined, now.revision());
-                now.news_after(told).map(FeedMessage::Quarantine)
+                now.update_after(told).map(FeedMessage::Quarantine)
             }
             Event::EndpointsDue => self.endpoints(),
             Event::Routing => {
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -33,7 +33,7 @@
 pub use guard::{Guard, report_crashes};
 pub use inquiry::{Inquiry, Review};
 pub use known_starts::{KnownStarts, StartNews};
-pub use model::{Quarantine, QuarantineNews, Quarantines, Stage, Verdict};
+pub use model::{Quarantine, QuarantineUpdate, Quarantines, Stage, Verdict};
 pub use report::{CrashReport, Observation, Observed};
 pub use served::RecentlyServed;
 pub use shared::SharedQuarantine;
--- a/src/quarantine/model.rs
+++ b/src/quarantine/model.rs
@@ -117,7 +117,7 @@
 
 /// What changed from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// The revision that the listener has then.
     pub revision: u64,
     /// Whether the listener has to forget all that it knows.
@@ -260,7 +260,7 @@
     /// What a listener has to be told that has this revision at least; none where that is
     /// all. Every control host comes through the same revisions, so that news of one fit on
     /// those of another.
-    pub fn news_after(&self, revision: u64) -> Option<QuarantineNews> {
+    pub fn update_after(&self, revision: u64) -> Option<QuarantineUpdate> {
         if revision >= self.revision {
             return None;
         }
@@ -268,7 +268,7 @@
         let after = if is_whole { 0 } else { revision };
         let changed = self.requests.iter().filter(|(_, held)| held.revision > after);
         let released = self.released.iter().filter(|(at, _)| *at > after && !is_whole);
-        Some(QuarantineNews {
+        Some(QuarantineUpdate {
             revision: self.revision,
             is_whole,
             changed: changed.map(|(f, held)| (f.clone(), held.quarantine, held.revision)).collect(),
@@ -277,7 +277,7 @@
     }
 
     /// Takes news in, if they are newer.
-    pub fn adopt(&mut self, news: QuarantineNews) -> bool {
+    pub fn adopt(&mut self, news: QuarantineUpdate) -> bool {
         if news.revision <= self.revision {
             return false;
         }
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::{Notify, watch};
 
-use super::model::{QuarantineNews, Quarantines};
+use super::model::{QuarantineUpdate, Quarantines};
 use super::report::{CrashReport, Observation};
 use crate::wire::HostId;
 
@@ -54,7 +54,7 @@
     }
 
     /// Takes news of it in, if they are newer.
-    pub fn adopt(&self, news: QuarantineNews) {
+    pub fn adopt(&self, news: QuarantineUpdate) {
         self.agreed.send_if_modified(|known| Arc::make_mut(known).adopt(news));
     }
 
--- a/src/quarantine/tests/model.rs
+++ b/src/quarantine/tests/model.rs
@@ -58,20 +58,20 @@
     // Two hosts tell of different steps, and a listener hears them in any order.
     for (first, second) in (1..states.len()).flat_map(|a| (1..states.len()).map(move |b| (a, b))) {
         let mut listener = Quarantines::default();
-        let whole = |at: usize| states[at].news_after(0).unwrap();
+        let whole = |at: usize| states[at].update_after(0).unwrap();
         listener.adopt(whole(first));
         listener.adopt(whole(second));
         let newest = states.last().unwrap();
-        if let Some(news) = newest.news_after(states[first.min(second)].revision()) {
+        if let Some(news) = newest.update_after(states[first.min(second)].revision()) {
             listener.adopt(news);
         }
         let all = |of: &Quarantines| of.all().map(|(f, q)| (f.clone(), *q)).collect::<Vec<_>>();
         assert_eq!(all(&listener), all(newest), "{first} and {second}");
-        assert!(newest.news_after(listener.revision()).is_none());
+        assert!(newest.update_after(listener.revision()).is_none());
         // It may tell others, as control hosts do.
         for before in &states[1..] {
             let mut told = before.clone();
-            if let Some(news) = listener.news_after(before.revision()) {
+            if let Some(news) = listener.update_after(before.revision()) {
                 told.adopt(news);
             }
             assert_eq!(all(&told), all(newest));
