--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -65,7 +65,7 @@
         let after = self.seen_change;
         let changes = control.registry.read(|r| r.changes_after(after, usize::MAX, Scope::All));
         self.seen_change = changes.upto;
-        self.inquiry.take_starts(now, self.starts.news(&changes.endpoints));
+        self.inquiry.record_starts(now, self.starts.apply_changes(&changes.endpoints));
     }
 
     fn decide(&mut self, control: &Arc<Control>, now: Millis) {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -362,11 +362,11 @@
     while watch.changed().await.is_ok() {
         let changes = gateway.registry.read(|r| r.changes_after(seen, usize::MAX, Scope::All));
         seen = changes.upto;
-        let news = known_starts.news(&changes.endpoints);
+        let news = known_starts.apply_changes(&changes.endpoints);
         for start in &news {
             gateway.connections.forget(start.id());
         }
-        gateway.guard.take_starts(news);
+        gateway.guard.record_starts(news);
         for endpoint in &changes.endpoints {
             if endpoint.state != EndpointState::Ready {
                 gateway.connections.forget(&endpoint.id);
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -32,7 +32,7 @@
 pub use fingerprint::{Fingerprint, InvalidFingerprint};
 pub use guard::{Guard, report_crashes};
 pub use inquiry::{Inquiry, Review};
-pub use known_starts::{KnownStarts, StartNews};
+pub use known_starts::{KnownStarts, StartEvent};
 pub use model::{Quarantine, QuarantineUpdate, Quarantines, Stage, Verdict};
 pub use report::{CrashReport, Observation, Observed};
 pub use served::RecentlyServed;
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -11,7 +11,7 @@
 use super::inquiry::Inquiry;
 use super::model::{Quarantines, Stage};
 use super::report::CrashReport;
-use super::{Fingerprint, Observation, SharedQuarantine, StartNews, Witness};
+use super::{Fingerprint, Observation, SharedQuarantine, StartEvent, Witness};
 use crate::clock::{Clock, epoch_ms};
 use crate::dispatch::Millis;
 use crate::feed::Subscriptions;
@@ -125,8 +125,8 @@
     }
 
     /// What became known of starts of endpoints.
-    pub fn take_starts(&self, news: Vec<StartNews>) {
-        self.seen().alone.take_starts(self.clock.now(), news);
+    pub fn record_starts(&self, news: Vec<StartEvent>) {
+        self.seen().alone.record_starts(self.clock.now(), news);
     }
 
     /// What this router would decide without a leader.
--- a/src/quarantine/inquiry.rs
+++ b/src/quarantine/inquiry.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::Fingerprint;
-use super::StartNews;
+use super::StartEvent;
 use super::crash::Crash;
 use super::culprits::{Blame, Suspicion, culprits};
 use super::report::{Observation, Observed};
@@ -98,11 +98,11 @@
     }
 
     /// Takes in what became known of starts.
-    pub fn take_starts(&mut self, now: Millis, news: Vec<StartNews>) {
+    pub fn record_starts(&mut self, now: Millis, news: Vec<StartEvent>) {
         for step in news {
             match step {
-                StartNews::Started(start) => self.started(now, &start),
-                StartNews::Gone(endpoint) => self.starts.forget(&endpoint),
+                StartEvent::Started(start) => self.started(now, &start),
+                StartEvent::Gone(endpoint) => self.starts.forget(&endpoint),
             }
         }
     }
--- a/src/quarantine/known_starts.rs
+++ b/src/quarantine/known_starts.rs
@@ -6,19 +6,19 @@
 
 /// A step in an endpoint's life.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StartNews {
+pub enum StartEvent {
     /// This start is the latest that is known.
     Started(EndpointStart),
     /// The endpoint is gone.
     Gone(String),
 }
 
-impl StartNews {
+impl StartEvent {
     /// The endpoint's id.
     pub fn id(&self) -> &str {
         match self {
-            StartNews::Started(start) => &start.id,
-            StartNews::Gone(id) => id,
+            StartEvent::Started(start) => &start.id,
+            StartEvent::Gone(id) => id,
         }
     }
 }
@@ -31,18 +31,18 @@
 
 impl KnownStarts {
     /// What is new by changes of a registry, which are told in their order.
-    pub fn news(&mut self, changes: &[Registration]) -> Vec<StartNews> {
+    pub fn apply_changes(&mut self, changes: &[Registration]) -> Vec<StartEvent> {
         let mut news = Vec::new();
         for endpoint in changes {
             if endpoint.state == EndpointState::Gone {
                 if self.starts.remove(&endpoint.id).is_some() {
-                    news.push(StartNews::Gone(endpoint.id.clone()));
+                    news.push(StartEvent::Gone(endpoint.id.clone()));
                 }
                 continue;
             }
             let before = self.starts.insert(endpoint.id.clone(), endpoint.started_at_ms);
             if before != Some(endpoint.started_at_ms) {
-                news.push(StartNews::Started(EndpointStart::of(endpoint)));
+                news.push(StartEvent::Started(EndpointStart::of(endpoint)));
             }
         }
         news
--- a/src/quarantine/tests/starts.rs
+++ b/src/quarantine/tests/starts.rs
@@ -26,7 +26,7 @@
 }
 
 fn started(inquiry: &mut Inquiry, at: Millis, start: EndpointStart) {
-    inquiry.take_starts(at, vec![StartNews::Started(start)]);
+    inquiry.record_starts(at, vec![StartEvent::Started(start)]);
 }
 
 fn blamed(inquiry: &mut Inquiry, at: Millis) -> usize {
@@ -100,15 +100,15 @@
     let mut news = |registry: &Registry| {
         let changes = registry.changes_after(seen, usize::MAX, Scope::All);
         seen = changes.upto;
-        known.news(&changes.endpoints)
+        known.apply_changes(&changes.endpoints)
     };
     registry.merge(said(1, EndpointState::Ready), Hearing::FirstHand);
-    assert_eq!(news(&registry), [StartNews::Started(of(1, 1))]);
+    assert_eq!(news(&registry), [StartEvent::Started(of(1, 1))]);
     registry.merge(said(1, EndpointState::Leaving), Hearing::FirstHand);
     assert_eq!(news(&registry), []);
     registry.merge(said(2, EndpointState::Ready), Hearing::FirstHand);
-    assert_eq!(news(&registry), [StartNews::Started(of(1, 2))]);
+    assert_eq!(news(&registry), [StartEvent::Started(of(1, 2))]);
     registry.merge(Registration::gone("e-1"), Hearing::FirstHand);
-    assert_eq!(news(&registry), [StartNews::Gone("e-1".into())]);
+    assert_eq!(news(&registry), [StartEvent::Gone("e-1".into())]);
     assert_eq!(news(&registry), []);
 }
