--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -16,7 +16,7 @@
 use bramblecrank::dispatch::{Decision, Dispatcher};
 use bramblecrank::member::Table as Members;
 use bramblecrank::quarantine::{
-    CrashReport, Fingerprint, Inquiry, Observation, Observed, Quarantines, Suspicion, Verdict,
+    CrashAnalysis, CrashReport, Fingerprint, Observation, Observed, Quarantines, Suspicion, Verdict,
 };
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
@@ -244,18 +244,18 @@
 fn quarantine() {
     title("Requests that crash endpoints");
     for (crashes, requests) in [(3, 16), (30, 64), (256, 64), (256, 256)] {
-        let mut inquiry = Inquiry::default();
+        let mut analysis = CrashAnalysis::default();
         let start = Instant::now();
         for crash in 0..crashes {
             for request in 0..requests {
-                inquiry.take(crash, HostId(1), lost(crash, crash * requests + request));
+                analysis.record(crash, HostId(1), lost(crash, crash * requests + request));
             }
         }
         let taken = start.elapsed().as_secs_f64() * 1e6 / (crashes * requests) as f64;
         let size = format!("{crashes} crashes of {requests} requests");
         row("an observation taken in", &size, taken, "us");
         let start = Instant::now();
-        inquiry.review(10_000, |_| Suspicion::None);
+        analysis.review(10_000, |_| Suspicion::None);
         row("a decision", &size, start.elapsed().as_secs_f64() * 1e3, "ms");
     }
     let observations = (0..64).map(|request| lost(1, request)).collect();
--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -10,7 +10,7 @@
 use crate::clock::epoch_ms;
 use crate::dispatch::Millis;
 use crate::quarantine::{
-    Blame, Fingerprint, Inquiry, KnownStarts, Quarantines, Review, Stage, Suspicion, Verdict,
+    Blame, CrashAnalysis, Fingerprint, KnownStarts, Quarantines, Review, Stage, Suspicion, Verdict,
 };
 use crate::registry::Scope;
 use crate::telemetry::render_gauges;
@@ -40,7 +40,7 @@
         }
         controller.take_starts(&control, now);
         for (router, observation) in reported {
-            controller.inquiry.take(now, router, observation);
+            controller.analysis.record(now, router, observation);
         }
         controller.decide(&control, now);
     }
@@ -48,7 +48,7 @@
 
 #[derive(Debug, Default)]
 struct QuarantineController {
-    inquiry: Inquiry,
+    analysis: CrashAnalysis,
     starts: KnownStarts,
     /// Number of the registry's change that was read last.
     seen_change: u64,
@@ -65,13 +65,13 @@
         let after = self.seen_change;
         let changes = control.registry.read(|r| r.changes_after(after, usize::MAX, Scope::All));
         self.seen_change = changes.upto;
-        self.inquiry.record_starts(now, self.starts.apply_changes(&changes.endpoints));
+        self.analysis.record_starts(now, self.starts.apply_changes(&changes.endpoints));
     }
 
     fn decide(&mut self, control: &Arc<Control>, now: Millis) {
         let agreed = control.quarantine.agreed();
         for fingerprint in self.agreed.let_run_again(&agreed) {
-            self.inquiry.forgive(now, fingerprint);
+            self.analysis.forgive(now, fingerprint);
         }
         self.agreed = agreed.clone();
         let epoch = epoch_ms();
@@ -80,13 +80,13 @@
         let suspicion = |fingerprint: &_| agreed.suspicion(fingerprint, at_epoch);
         // What was not agreed on has to be proposed again.
         let is_refused = |f: &Fingerprint| agreed.suspicion(f, at_epoch) == Suspicion::Refused;
-        let is_open = !self.inquiry.blamed().iter().all(is_refused);
-        let is_due = is_open || self.inquiry.is_due(now);
+        let is_open = !self.analysis.blamed().iter().all(is_refused);
+        let is_due = is_open || self.analysis.is_due(now);
         let Review { blamed, cleared } = match is_due {
-            true => self.inquiry.review(now, suspicion),
+            true => self.analysis.review(now, suspicion),
             false => Review::default(),
         };
-        self.innocent.extend(cleared.into_iter().chain(self.inquiry.take_served()));
+        self.innocent.extend(cleared.into_iter().chain(self.analysis.take_served()));
         self.innocent.retain(|f| agreed.get(f).is_some());
         let mut verdicts: Vec<_> = self.innocent.iter().cloned().map(Verdict::Release).collect();
         for Blame { fingerprint, crashes, among } in blamed {
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -4,7 +4,7 @@
 //! A request is known again by its [`Fingerprint`]. A router notes which requests were lost
 //! when an endpoint broke off, and tells the leader ([`Witness`]); the leader puts together
 //! what all routers lost, and blames the fewest requests that explain the crashes
-//! ([`Inquiry`]). Whom it blames is agreed on by the control hosts ([`Quarantines`]), so that
+//! ([`CrashAnalysis`]). Whom it blames is agreed on by the control hosts ([`Quarantines`]), so that
 //! it outlives them, and told to every router by feed. A router without a leader in reach
 //! blames by what it saw itself ([`Guard`]).
 //!
@@ -13,11 +13,11 @@
 //! answering. See `docs/design/crashing-requests.md` for what was weighed.
 
 mod crash;
+mod crash_analysis;
 mod culprits;
 mod doubts;
 mod fingerprint;
 mod guard;
-mod inquiry;
 mod known_starts;
 mod model;
 mod report;
@@ -28,10 +28,10 @@
 mod tests;
 mod witness;
 
+pub use crash_analysis::{CrashAnalysis, Review};
 pub use culprits::{Blame, Suspicion};
 pub use fingerprint::{Fingerprint, InvalidFingerprint};
 pub use guard::{Guard, report_crashes};
-pub use inquiry::{Inquiry, Review};
 pub use known_starts::{KnownStarts, StartEvent};
 pub use model::{Quarantine, QuarantineUpdate, Quarantines, Stage, Verdict};
 pub use report::{CrashReport, Observation, Observed};
--- a/src/quarantine/inquiry.rs
+++ b/src/quarantine/crash_analysis.rs
@@ -36,7 +36,7 @@
 
 /// The crashes of the last minutes, and whom they are blamed on.
 #[derive(Clone, Debug, Default)]
-pub struct Inquiry {
+pub struct CrashAnalysis {
     crashes: VecDeque<Crash>,
     starts: Starts,
     alive: BTreeMap<EndpointStart, Millis>,
@@ -50,9 +50,9 @@
     reviewed_at: Millis,
 }
 
-impl Inquiry {
+impl CrashAnalysis {
     /// Takes in what a router saw.
-    pub fn take(&mut self, now: Millis, router: HostId, observation: Observation) {
+    pub fn record(&mut self, now: Millis, router: HostId, observation: Observation) {
         let at = now.saturating_sub(observation.ago_ms.into());
         self.has_news = true;
         match observation.what {
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -7,8 +7,8 @@
 
 use tokio::sync::Notify;
 
+use super::crash_analysis::CrashAnalysis;
 use super::doubts::Doubts;
-use super::inquiry::Inquiry;
 use super::model::{Quarantines, Stage};
 use super::report::CrashReport;
 use super::{Fingerprint, Observation, SharedQuarantine, StartEvent, Witness};
@@ -49,7 +49,7 @@
 struct Seen {
     witness: Witness,
     /// What this router would decide without a leader.
-    alone: Inquiry,
+    alone: CrashAnalysis,
     refused_alone: BTreeSet<Fingerprint>,
 }
 
@@ -119,7 +119,7 @@
         let now = self.clock.now();
         let mut seen = self.seen();
         let Some(observation) = see(now, &mut seen.witness) else { return };
-        seen.alone.take(now, self.me, observation);
+        seen.alone.record(now, self.me, observation);
         drop(seen);
         self.noticed.notify_one();
     }
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -30,16 +30,16 @@
 }
 
 /// Takes in that requests, which had been there for so long, were lost with an endpoint.
-fn crash(inquiry: &mut Inquiry, at: Millis, endpoint: u64, requests: &[(&str, u32)]) {
+fn crash(analysis: &mut CrashAnalysis, at: Millis, endpoint: u64, requests: &[(&str, u32)]) {
     for (name, ran_ms) in requests {
         // Two routers lose something with each.
-        inquiry.take(at, HostId(1), lost(endpoint, name, *ran_ms));
-        inquiry.take(at, HostId(2), lost(endpoint, name, *ran_ms));
+        analysis.record(at, HostId(1), lost(endpoint, name, *ran_ms));
+        analysis.record(at, HostId(2), lost(endpoint, name, *ran_ms));
     }
 }
 
-fn blamed(inquiry: &mut Inquiry) -> Vec<Fingerprint> {
-    inquiry
+fn blamed(analysis: &mut CrashAnalysis) -> Vec<Fingerprint> {
+    analysis
         .review(LATER, |_| Suspicion::None)
         .blamed
         .into_iter()
@@ -69,136 +69,140 @@
 
 #[test]
 fn what_was_lost_in_three_crashes_is_blamed_and_not_what_was_beside_it() {
-    let mut inquiry = Inquiry::default();
-    crash(&mut inquiry, 0, 1, &[("culprit", 100), ("one", 10), ("two", 500)]);
-    crash(&mut inquiry, 900, 2, &[("culprit", 100), ("one", 700), ("three", 40)]);
-    assert_eq!(blamed(&mut inquiry), []);
-    crash(&mut inquiry, 2_000, 3, &[("culprit", 100), ("one", 900), ("two", 20)]);
-    assert_eq!(blamed(&mut inquiry), [request("culprit")]);
+    let mut analysis = CrashAnalysis::default();
+    crash(&mut analysis, 0, 1, &[("culprit", 100), ("one", 10), ("two", 500)]);
+    crash(&mut analysis, 900, 2, &[("culprit", 100), ("one", 700), ("three", 40)]);
+    assert_eq!(blamed(&mut analysis), []);
+    crash(&mut analysis, 2_000, 3, &[("culprit", 100), ("one", 900), ("two", 20)]);
+    assert_eq!(blamed(&mut analysis), [request("culprit")]);
     // Beside the same culprit again.
-    crash(&mut inquiry, 2_100, 4, &[("culprit", 100), ("two", 80), ("three", 40)]);
-    assert_eq!(blamed(&mut inquiry), [request("culprit")]);
+    crash(&mut analysis, 2_100, 4, &[("culprit", 100), ("two", 80), ("three", 40)]);
+    assert_eq!(blamed(&mut analysis), [request("culprit")]);
 }
 
 #[test]
 fn what_several_routers_report_of_one_crash_counts_once() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for (at, endpoint) in [(0, 1), (5, 1), (300, 1), (1_000, 2), (1_010, 2)] {
-        crash(&mut inquiry, at, endpoint, &[("often", 100)]);
+        crash(&mut analysis, at, endpoint, &[("often", 100)]);
     }
-    assert_eq!(blamed(&mut inquiry), []);
+    assert_eq!(blamed(&mut analysis), []);
 }
 
 #[test]
 fn one_start_of_an_endpoint_that_crashes_three_times_counts_three_times() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for at in [0, 5_000, 9_000] {
-        crash(&mut inquiry, at, 1, &[("culprit", 100)]);
+        crash(&mut analysis, at, 1, &[("culprit", 100)]);
     }
-    assert_eq!(blamed(&mut inquiry), [request("culprit")]);
+    assert_eq!(blamed(&mut analysis), [request("culprit")]);
 }
 
 #[test]
 fn one_that_was_blamed_by_mistake_is_cleared_by_a_better_explanation() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
-        crash(&mut inquiry, endpoint * 1_000, endpoint, &[("culprit", 300), ("beside", 10)]);
+        crash(&mut analysis, endpoint * 1_000, endpoint, &[("culprit", 300), ("beside", 10)]);
     }
-    assert_eq!(blamed(&mut inquiry), [request("beside")]);
+    assert_eq!(blamed(&mut analysis), [request("beside")]);
     let refused = |f: &Fingerprint| match *f == request("beside") {
         true => Suspicion::Refused,
         false => Suspicion::None,
     };
-    crash(&mut inquiry, 3_500, 3, &[("culprit", 300)]);
-    assert_eq!(inquiry.review(LATER, refused).cleared, [request("beside")]);
-    assert_eq!(blamed(&mut inquiry), [request("culprit")]);
+    crash(&mut analysis, 3_500, 3, &[("culprit", 300)]);
+    assert_eq!(analysis.review(LATER, refused).cleared, [request("beside")]);
+    assert_eq!(blamed(&mut analysis), [request("culprit")]);
 }
 
 #[test]
 fn an_endpoint_that_goes_on_answering_did_not_crash() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
-        crash(&mut inquiry, 0, endpoint, &[("cut", 100)]);
+        crash(&mut analysis, 0, endpoint, &[("cut", 100)]);
     }
-    inquiry.take(10, HostId(1), seen(Observed::Alive(start(1))));
-    assert_eq!(blamed(&mut inquiry), []);
+    analysis.record(10, HostId(1), seen(Observed::Alive(start(1))));
+    assert_eq!(blamed(&mut analysis), []);
     // Who lost it with the others tells it again.
-    crash(&mut inquiry, 0, 1, &[("cut", 100)]);
-    assert_eq!(blamed(&mut inquiry), []);
+    crash(&mut analysis, 0, 1, &[("cut", 100)]);
+    assert_eq!(blamed(&mut analysis), []);
     // Later it does crash, and that it was there before is told again.
-    crash(&mut inquiry, 100, 1, &[("cut", 100)]);
+    crash(&mut analysis, 100, 1, &[("cut", 100)]);
     let again = Observation { ago_ms: 1_000, what: Observed::Alive(start(1)) };
-    inquiry.take(1_010, HostId(1), again);
-    assert_eq!(blamed(&mut inquiry), [request("cut")]);
+    analysis.record(1_010, HostId(1), again);
+    assert_eq!(blamed(&mut analysis), [request("cut")]);
 }
 
 #[test]
 fn what_one_router_alone_lost_counts_after_half_a_second() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
-        inquiry.take(1_000, HostId(1), lost(endpoint, "cut", 100));
+        analysis.record(1_000, HostId(1), lost(endpoint, "cut", 100));
     }
-    assert_eq!(inquiry.review(1_499, |_| Suspicion::None).blamed, []);
-    assert_eq!(inquiry.review(1_500, |_| Suspicion::None).blamed[0].fingerprint, request("cut"));
+    assert_eq!(analysis.review(1_499, |_| Suspicion::None).blamed, []);
+    assert_eq!(analysis.review(1_500, |_| Suspicion::None).blamed[0].fingerprint, request("cut"));
     // Where others lose something at the same endpoints, nothing is waited for.
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
-        inquiry.take(1_000, HostId(1), lost(endpoint, "culprit", 100));
-        inquiry.take(1_000, HostId(2), lost(endpoint, &format!("beside {endpoint}"), 100));
+        analysis.record(1_000, HostId(1), lost(endpoint, "culprit", 100));
+        analysis.record(1_000, HostId(2), lost(endpoint, &format!("beside {endpoint}"), 100));
     }
     assert_eq!(
-        inquiry.review(1_001, |_| Suspicion::None).blamed[0].fingerprint,
+        analysis.review(1_001, |_| Suspicion::None).blamed[0].fingerprint,
         request("culprit")
     );
 }
 
 #[test]
 fn what_is_served_is_not_blamed_for_crashes_before_and_right_after() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
-        crash(&mut inquiry, 0, endpoint, &[("served", 100)]);
+        crash(&mut analysis, 0, endpoint, &[("served", 100)]);
     }
-    assert_eq!(blamed(&mut inquiry), [request("served")]);
-    inquiry.take(500, HostId(1), seen(Observed::Served(request("served"))));
-    assert_eq!(inquiry.review(LATER, |_| Suspicion::Refused).cleared, [request("served")]);
+    assert_eq!(blamed(&mut analysis), [request("served")]);
+    analysis.record(500, HostId(1), seen(Observed::Served(request("served"))));
+    assert_eq!(analysis.review(LATER, |_| Suspicion::Refused).cleared, [request("served")]);
     for endpoint in 3..9 {
-        crash(&mut inquiry, 2_000, endpoint, &[("served", 100)]);
+        crash(&mut analysis, 2_000, endpoint, &[("served", 100)]);
     }
-    assert_eq!(blamed(&mut inquiry), []);
+    assert_eq!(blamed(&mut analysis), []);
     // Its endpoints may have got something else to stumble over.
     for endpoint in 9..12 {
-        crash(&mut inquiry, 20_000, endpoint, &[("served", 100)]);
+        crash(&mut analysis, 20_000, endpoint, &[("served", 100)]);
     }
-    assert_eq!(blamed(&mut inquiry), [request("served")]);
+    assert_eq!(blamed(&mut analysis), [request("served")]);
 }
 
 #[test]
 fn where_endpoints_go_down_all_over_more_crashes_are_needed() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..60 {
         let other = format!("other-{endpoint}");
         let mut requests = vec![(other.as_str(), 100)];
         if endpoint % 15 == 0 {
             requests.push(("sent again", 100));
         }
-        crash(&mut inquiry, endpoint * 100, endpoint, &requests);
+        crash(&mut analysis, endpoint * 100, endpoint, &requests);
     }
-    assert_eq!(blamed(&mut inquiry), [], "four of sixty");
-    crash(&mut inquiry, 6_000, 60, &[("sent again", 100)]);
-    assert_eq!(blamed(&mut inquiry), [request("sent again")], "five");
+    assert_eq!(blamed(&mut analysis), [], "four of sixty");
+    crash(&mut analysis, 6_000, 60, &[("sent again", 100)]);
+    assert_eq!(blamed(&mut analysis), [request("sent again")], "five");
 }
 
 #[test]
 fn several_that_crash_endpoints_by_turns_are_all_blamed() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for round in 0..3 {
         for (number, name) in ["a", "b", "c"].iter().enumerate() {
             let endpoint = round * 3 + number as u64;
-            crash(&mut inquiry, endpoint * 400, endpoint, &[(name, 100), ("beside", 50)]);
-            inquiry.take(endpoint * 400 + 1, HostId(1), seen(Observed::Served(request("beside"))));
+            crash(&mut analysis, endpoint * 400, endpoint, &[(name, 100), ("beside", 50)]);
+            analysis.record(
+                endpoint * 400 + 1,
+                HostId(1),
+                seen(Observed::Served(request("beside"))),
+            );
         }
     }
-    let mut blamed = blamed(&mut inquiry);
+    let mut blamed = blamed(&mut analysis);
     blamed.sort();
     let mut all = ["a", "b", "c"].map(request);
     all.sort();
@@ -207,65 +211,65 @@
 
 #[test]
 fn on_trial_one_crash_is_enough() {
-    let mut inquiry = Inquiry::default();
-    crash(&mut inquiry, 500, 1, &[("on trial", 100)]);
+    let mut analysis = CrashAnalysis::default();
+    crash(&mut analysis, 500, 1, &[("on trial", 100)]);
     let since = |at| move |_: &Fingerprint| Suspicion::Trial(at);
-    assert_eq!(inquiry.review(LATER, since(1_000)).blamed, []);
-    assert_eq!(inquiry.review(LATER, since(400)).blamed[0].fingerprint, request("on trial"));
+    assert_eq!(analysis.review(LATER, since(1_000)).blamed, []);
+    assert_eq!(analysis.review(LATER, since(400)).blamed[0].fingerprint, request("on trial"));
 }
 
 #[test]
 fn a_crash_with_one_that_is_refused_already_says_nothing_of_others() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..4 {
-        crash(&mut inquiry, endpoint * 100, endpoint, &[("refused", 10), ("beside", 5)]);
+        crash(&mut analysis, endpoint * 100, endpoint, &[("refused", 10), ("beside", 5)]);
     }
     let refused = |f: &Fingerprint| match *f == request("refused") {
         true => Suspicion::Refused,
         false => Suspicion::None,
     };
-    assert_eq!(inquiry.review(LATER, refused).blamed, []);
+    assert_eq!(analysis.review(LATER, refused).blamed, []);
 }
 
 #[test]
 fn crashes_are_forgotten_after_a_while_and_beyond_a_number() {
-    let mut inquiry = Inquiry::default();
-    crash(&mut inquiry, 0, 1, &[("rare", 100)]);
-    crash(&mut inquiry, MINUTE_MS, 2, &[("rare", 100)]);
-    crash(&mut inquiry, 15 * MINUTE_MS, 3, &[("rare", 100)]);
-    assert_eq!(inquiry.review(15 * MINUTE_MS, |_| Suspicion::None), Review::default());
+    let mut analysis = CrashAnalysis::default();
+    crash(&mut analysis, 0, 1, &[("rare", 100)]);
+    crash(&mut analysis, MINUTE_MS, 2, &[("rare", 100)]);
+    crash(&mut analysis, 15 * MINUTE_MS, 3, &[("rare", 100)]);
+    assert_eq!(analysis.review(15 * MINUTE_MS, |_| Suspicion::None), Review::default());
     // A customer whose every request crashes something pushes nothing out that matters.
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for number in 0..10_000 {
         let name = format!("hostile-{number}");
-        crash(&mut inquiry, number, number, &[(name.as_str(), 10)]);
+        crash(&mut analysis, number, number, &[(name.as_str(), 10)]);
         if number % 100 == 0 && number < 300 {
-            crash(&mut inquiry, number, 20_000 + number, &[("culprit", 10)]);
+            crash(&mut analysis, number, 20_000 + number, &[("culprit", 10)]);
         }
         if number == 250 {
-            assert_eq!(blamed(&mut inquiry), [], "among so many three are chance");
+            assert_eq!(blamed(&mut analysis), [], "among so many three are chance");
         }
     }
 }
 
 #[test]
 fn of_two_that_always_met_the_second_needs_less_once_the_first_is_blamed() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
-        crash(&mut inquiry, endpoint * 500, endpoint, &[("first", 50), ("second", 90)]);
+        crash(&mut analysis, endpoint * 500, endpoint, &[("first", 50), ("second", 90)]);
     }
-    assert_eq!(blamed(&mut inquiry), [request("first")]);
-    crash(&mut inquiry, 3_000, 3, &[("second", 90)]);
-    assert_eq!(blamed(&mut inquiry), [request("second")], "it explains all four");
-    let mut inquiry = Inquiry::default();
+    assert_eq!(blamed(&mut analysis), [request("first")]);
+    crash(&mut analysis, 3_000, 3, &[("second", 90)]);
+    assert_eq!(blamed(&mut analysis), [request("second")], "it explains all four");
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..5 {
         let first = [("first", 50), ("second", 90)];
-        crash(&mut inquiry, endpoint * 500, endpoint, &first[..if endpoint < 3 { 2 } else { 1 }]);
+        crash(&mut analysis, endpoint * 500, endpoint, &first[..if endpoint < 3 { 2 } else { 1 }]);
     }
-    assert_eq!(blamed(&mut inquiry), [request("first")]);
-    crash(&mut inquiry, 4_000, 5, &[("second", 90)]);
-    crash(&mut inquiry, 5_000, 6, &[("second", 90)]);
-    let mut both = blamed(&mut inquiry);
+    assert_eq!(blamed(&mut analysis), [request("first")]);
+    crash(&mut analysis, 4_000, 5, &[("second", 90)]);
+    crash(&mut analysis, 5_000, 6, &[("second", 90)]);
+    let mut both = blamed(&mut analysis);
     both.sort();
     let mut expected = ["first", "second"].map(request);
     expected.sort();
@@ -274,20 +278,20 @@
 
 #[test]
 fn what_is_let_run_again_has_to_crash_three_more() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for endpoint in 0..4 {
-        crash(&mut inquiry, endpoint * 100, endpoint, &[("culprit", 100)]);
+        crash(&mut analysis, endpoint * 100, endpoint, &[("culprit", 100)]);
     }
-    assert_eq!(blamed(&mut inquiry), [request("culprit")]);
-    inquiry.forgive(5_000, &request("culprit"));
+    assert_eq!(blamed(&mut analysis), [request("culprit")]);
+    analysis.forgive(5_000, &request("culprit"));
     // A router tells of what it lost before once more.
-    crash(&mut inquiry, 4_000, 9, &[("culprit", 100)]);
+    crash(&mut analysis, 4_000, 9, &[("culprit", 100)]);
     for endpoint in 4..6 {
-        crash(&mut inquiry, endpoint * 2_000, endpoint, &[("culprit", 100)]);
+        crash(&mut analysis, endpoint * 2_000, endpoint, &[("culprit", 100)]);
     }
-    assert_eq!(blamed(&mut inquiry), []);
-    crash(&mut inquiry, 14_000, 6, &[("culprit", 100)]);
-    assert_eq!(blamed(&mut inquiry), [request("culprit")]);
+    assert_eq!(blamed(&mut analysis), []);
+    crash(&mut analysis, 14_000, 6, &[("culprit", 100)]);
+    assert_eq!(blamed(&mut analysis), [request("culprit")]);
     let mut before = Quarantines::default();
     before.apply(refuse("a", 1));
     before.apply(refuse("b", 1));
@@ -304,15 +308,15 @@
 
 #[test]
 fn a_look_is_due_with_news_and_when_what_one_router_lost_counts() {
-    let mut inquiry = Inquiry::default();
-    assert!(!inquiry.is_due(0));
-    inquiry.take(1_000, HostId(1), lost(1, "a", 100));
-    assert!(inquiry.is_due(1_000));
-    inquiry.review(1_000, |_| Suspicion::None);
-    assert!(!inquiry.is_due(1_499));
-    assert!(inquiry.is_due(1_500));
-    inquiry.review(1_500, |_| Suspicion::None);
-    assert!(!inquiry.is_due(9_000));
-    inquiry.forgive(9_000, &request("a"));
-    assert!(inquiry.is_due(9_000));
+    let mut analysis = CrashAnalysis::default();
+    assert!(!analysis.is_due(0));
+    analysis.record(1_000, HostId(1), lost(1, "a", 100));
+    assert!(analysis.is_due(1_000));
+    analysis.review(1_000, |_| Suspicion::None);
+    assert!(!analysis.is_due(1_499));
+    assert!(analysis.is_due(1_500));
+    analysis.review(1_500, |_| Suspicion::None);
+    assert!(!analysis.is_due(9_000));
+    analysis.forgive(9_000, &request("a"));
+    assert!(analysis.is_due(9_000));
 }
--- a/src/quarantine/tests/starts.rs
+++ b/src/quarantine/tests/starts.rs
@@ -12,77 +12,77 @@
     EndpointStart { id: format!("e-{number}"), started_at_ms }
 }
 
-fn lose(inquiry: &mut Inquiry, at: Millis, endpoint: EndpointStart) {
+fn lose(analysis: &mut CrashAnalysis, at: Millis, endpoint: EndpointStart) {
     for router in [ROUTER, OTHER] {
         let fingerprint = request("culprit");
         let what = Observed::Lost { endpoint: endpoint.clone(), fingerprint, ran_ms: 20 };
-        inquiry.take(at, router, Observation { ago_ms: 0, what });
+        analysis.record(at, router, Observation { ago_ms: 0, what });
     }
 }
 
-fn alive(inquiry: &mut Inquiry, at: Millis, endpoint: EndpointStart) {
+fn alive(analysis: &mut CrashAnalysis, at: Millis, endpoint: EndpointStart) {
     let what = Observed::Alive(endpoint);
-    inquiry.take(at, ROUTER, Observation { ago_ms: 0, what });
+    analysis.record(at, ROUTER, Observation { ago_ms: 0, what });
 }
 
-fn started(inquiry: &mut Inquiry, at: Millis, start: EndpointStart) {
-    inquiry.record_starts(at, vec![StartEvent::Started(start)]);
+fn started(analysis: &mut CrashAnalysis, at: Millis, start: EndpointStart) {
+    analysis.record_starts(at, vec![StartEvent::Started(start)]);
 }
 
-fn blamed(inquiry: &mut Inquiry, at: Millis) -> usize {
-    inquiry.review(at, |_| Suspicion::None).blamed.len()
+fn blamed(analysis: &mut CrashAnalysis, at: Millis) -> usize {
+    analysis.review(at, |_| Suspicion::None).blamed.len()
 }
 
 /// Three endpoints crash, and each answers again under the start that crashed.
-fn three_that_answer_again(inquiry: &mut Inquiry) {
+fn three_that_answer_again(analysis: &mut CrashAnalysis) {
     for number in 1..=3 {
-        started(inquiry, 0, of(number, 1));
-        lose(inquiry, 10_000, of(number, 1));
-        alive(inquiry, 10_800, of(number, 1));
+        started(analysis, 0, of(number, 1));
+        lose(analysis, 10_000, of(number, 1));
+        alive(analysis, 10_800, of(number, 1));
     }
-    assert_eq!(blamed(inquiry, 11_000), 0, "by all that is known they live");
+    assert_eq!(blamed(analysis, 11_000), 0, "by all that is known they live");
 }
 
 #[test]
 fn crashes_count_whose_endpoints_turn_out_to_have_started_again() {
-    let mut inquiry = Inquiry::default();
-    three_that_answer_again(&mut inquiry);
+    let mut analysis = CrashAnalysis::default();
+    three_that_answer_again(&mut analysis);
     for number in 1..=3 {
-        started(&mut inquiry, 12_000, of(number, 2));
+        started(&mut analysis, 12_000, of(number, 2));
     }
-    assert_eq!(blamed(&mut inquiry, 12_100), 1);
+    assert_eq!(blamed(&mut analysis, 12_100), 1);
 }
 
 #[test]
 fn a_sign_of_life_that_is_told_after_the_later_start_refutes_nothing() {
-    let mut inquiry = Inquiry::default();
+    let mut analysis = CrashAnalysis::default();
     for number in 1..=3 {
-        started(&mut inquiry, 0, of(number, 1));
-        lose(&mut inquiry, 10_000, of(number, 1));
-        started(&mut inquiry, 10_900, of(number, 2));
-        alive(&mut inquiry, 11_000, of(number, 1));
+        started(&mut analysis, 0, of(number, 1));
+        lose(&mut analysis, 10_000, of(number, 1));
+        started(&mut analysis, 10_900, of(number, 2));
+        alive(&mut analysis, 11_000, of(number, 1));
     }
-    assert_eq!(blamed(&mut inquiry, 11_100), 1);
+    assert_eq!(blamed(&mut analysis, 11_100), 1);
 }
 
 #[test]
 fn who_lived_on_and_started_again_later_did_not_crash_before() {
-    let mut inquiry = Inquiry::default();
-    three_that_answer_again(&mut inquiry);
+    let mut analysis = CrashAnalysis::default();
+    three_that_answer_again(&mut analysis);
     for number in 1..=3 {
-        started(&mut inquiry, 10_800 + UNKNOWN_MS, of(number, 2));
+        started(&mut analysis, 10_800 + UNKNOWN_MS, of(number, 2));
     }
-    assert_eq!(blamed(&mut inquiry, 20_000), 0);
+    assert_eq!(blamed(&mut analysis, 20_000), 0);
 }
 
 #[test]
 fn a_start_that_is_known_already_confirms_nothing() {
-    let mut inquiry = Inquiry::default();
-    three_that_answer_again(&mut inquiry);
+    let mut analysis = CrashAnalysis::default();
+    three_that_answer_again(&mut analysis);
     for number in 1..=3 {
-        started(&mut inquiry, 11_500, of(number, 1));
+        started(&mut analysis, 11_500, of(number, 1));
     }
-    assert_eq!(blamed(&mut inquiry, 12_000), 0);
+    assert_eq!(blamed(&mut analysis, 12_000), 0);
 }
 
 #[test]
--- a/tests/crashes/ways.rs
+++ b/tests/crashes/ways.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bramblecrank::quarantine::{Fingerprint, Inquiry, Review, Suspicion, Witness};
+use bramblecrank::quarantine::{CrashAnalysis, Fingerprint, Review, Suspicion, Witness};
 use bramblecrank::registry::EndpointStart;
 
 use bramblecrank::wire::HostId;
@@ -32,15 +32,15 @@
     way: Way,
     counts: BTreeMap<(usize, Fingerprint), BTreeSet<EndpointStart>>,
     witnesses: Vec<Witness>,
-    inquiry: Inquiry,
+    analysis: CrashAnalysis,
     refused: BTreeSet<Fingerprint>,
 }
 
 impl Judge {
     pub fn new(way: Way) -> Judge {
         let witnesses = vec![Witness::default(); ROUTERS];
-        let (counts, inquiry, refused) = Default::default();
-        Judge { way, counts, witnesses, inquiry, refused }
+        let (counts, analysis, refused) = Default::default();
+        Judge { way, counts, witnesses, analysis, refused }
     }
 
     pub fn lost(
@@ -81,7 +81,7 @@
             }
             has_news = true;
             for observation in witness.report(now).observations {
-                self.inquiry.take(now, HostId(router), observation);
+                self.analysis.record(now, HostId(router), observation);
             }
         }
         if !has_news {
@@ -92,8 +92,8 @@
             true => Suspicion::Refused,
             false => Suspicion::None,
         };
-        let Review { blamed, cleared } = self.inquiry.review(now, suspicion);
-        let served = self.inquiry.take_served();
+        let Review { blamed, cleared } = self.analysis.review(now, suspicion);
+        let served = self.analysis.take_served();
         self.refused.retain(|f| !cleared.contains(f) && !served.contains(f));
         for blame in blamed {
             for witness in &mut self.witnesses {
