--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -2,7 +2,7 @@
 //! are refused at every router.
 //!
 //! A request is known again by its [`Fingerprint`]. A router notes which requests were lost
-//! when an endpoint broke off, and tells the leader ([`Witness`]); the leader puts together
+//! when an endpoint broke off, and tells the leader ([`ObservationLog`]); the leader puts together
 //! what all routers lost, and blames the fewest requests that explain the crashes
 //! ([`CrashAnalysis`]). Whom it blames is agreed on by the control hosts ([`Quarantines`]), so that
 //! it outlives them, and told to every router by feed. A router without a leader in reach
@@ -20,13 +20,13 @@
 mod guard;
 mod known_starts;
 mod model;
+mod observation_log;
 mod report;
 mod served;
 mod shared;
 mod starts;
 #[cfg(test)]
 mod tests;
-mod witness;
 
 pub use crash_analysis::{CrashAnalysis, Review};
 pub use culprits::{Blame, Suspicion};
@@ -34,7 +34,7 @@
 pub use guard::{Guard, report_crashes};
 pub use known_starts::{KnownStarts, StartEvent};
 pub use model::{Quarantine, QuarantineUpdate, Quarantines, Stage, Verdict};
+pub use observation_log::ObservationLog;
 pub use report::{CrashReport, Observation, Observed};
 pub use served::RecentlyServed;
 pub use shared::SharedQuarantine;
-pub use witness::Witness;
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -11,7 +11,7 @@
 use super::doubts::Doubts;
 use super::model::{Quarantines, Stage};
 use super::report::CrashReport;
-use super::{Fingerprint, Observation, SharedQuarantine, StartEvent, Witness};
+use super::{Fingerprint, Observation, ObservationLog, SharedQuarantine, StartEvent};
 use crate::clock::{Clock, epoch_ms};
 use crate::dispatch::Millis;
 use crate::feed::Subscriptions;
@@ -47,7 +47,7 @@
 
 #[derive(Debug, Default)]
 struct Seen {
-    witness: Witness,
+    observation_log: ObservationLog,
     /// What this router would decide without a leader.
     alone: CrashAnalysis,
     refused_alone: BTreeSet<Fingerprint>,
@@ -84,7 +84,9 @@
         let ran_ms = u32::try_from(ran.as_millis()).unwrap_or(u32::MAX);
         self.doubts().note(self.clock.now(), &endpoint);
         self.has_doubts.store(true, Ordering::Relaxed);
-        self.see(|now, witness| witness.lost(now, endpoint, fingerprint.clone(), ran_ms));
+        self.see(|now, observation_log| {
+            observation_log.lost(now, endpoint, fingerprint.clone(), ran_ms)
+        });
     }
 
     /// An endpoint answered a request that was sent to it so long ago.
@@ -100,7 +102,7 @@
         drop(doubts);
         if is_refuted {
             let endpoint = EndpointStart { id: endpoint.to_string(), started_at_ms };
-            self.see(|now, witness| witness.answered(now, &endpoint, sent));
+            self.see(|now, observation_log| observation_log.answered(now, &endpoint, sent));
         }
     }
 
@@ -112,13 +114,13 @@
     /// A request was served whole.
     pub fn served(&self, fingerprint: &Fingerprint) {
         let is_suspect = self.shared.agreed().get(fingerprint).is_some();
-        self.see(|now, witness| witness.served(now, fingerprint, is_suspect));
+        self.see(|now, observation_log| observation_log.served(now, fingerprint, is_suspect));
     }
 
-    fn see(&self, see: impl FnOnce(Millis, &mut Witness) -> Option<Observation>) {
+    fn see(&self, see: impl FnOnce(Millis, &mut ObservationLog) -> Option<Observation>) {
         let now = self.clock.now();
         let mut seen = self.seen();
-        let Some(observation) = see(now, &mut seen.witness) else { return };
+        let Some(observation) = see(now, &mut seen.observation_log) else { return };
         seen.alone.record(now, self.me, observation);
         drop(seen);
         self.noticed.notify_one();
@@ -158,11 +160,11 @@
                 now.revision(),
             );
             if quarantine.stage == Stage::Refused {
-                seen.witness.refused(self.clock.now(), fingerprint);
+                seen.observation_log.refused(self.clock.now(), fingerprint);
             }
         }
         for fingerprint in before.let_run_again(now) {
-            seen.witness.forgive(fingerprint);
+            seen.observation_log.forgive(fingerprint);
             seen.alone.forgive(self.clock.now(), fingerprint);
         }
         for (fingerprint, _) in before.all().filter(|(f, _)| now.get(f).is_none()) {
@@ -171,21 +173,22 @@
     }
 
     fn report(&self) -> CrashReport {
-        self.seen().witness.report(self.clock.now())
+        self.seen().observation_log.report(self.clock.now())
     }
 
     fn tell_anew(&self) {
-        self.seen().witness.tell_anew(self.clock.now());
+        self.seen().observation_log.tell_anew(self.clock.now());
     }
 
     /// How long there is nothing to tell; none for as long as nothing is seen.
     fn quiet_for(&self) -> Option<Duration> {
         let seen = self.seen();
-        if seen.witness.is_empty() {
+        if seen.observation_log.is_empty() {
             return None;
         }
         let now = self.clock.now();
-        let due = seen.witness.due().map(|due| Duration::from_millis(due.saturating_sub(now)));
+        let due =
+            seen.observation_log.due().map(|due| Duration::from_millis(due.saturating_sub(now)));
         Some(due.map_or(LOOK_EVERY, |due| due.min(LOOK_EVERY)))
     }
 
--- a/src/quarantine/witness.rs
+++ b/src/quarantine/observation_log.rs
@@ -36,12 +36,12 @@
 
 /// What a router saw lately.
 #[derive(Clone, Debug, Default)]
-pub struct Witness {
+pub struct ObservationLog {
     kept: VecDeque<Kept>,
     served: RecentlyServed,
 }
 
-impl Witness {
+impl ObservationLog {
     /// An endpoint broke off a request's answer. Returns the observation, unless the request
     /// was served a moment ago.
     pub fn lost(
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -1,8 +1,8 @@
 //! Who is blamed for which crashes, what is agreed on it, and what a router remembers.
 
 mod model;
+mod observation_log;
 mod starts;
-mod witness;
 
 use super::*;
 use crate::dispatch::Millis;
--- a/tests/crashes/ways.rs
+++ b/tests/crashes/ways.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bramblecrank::quarantine::{CrashAnalysis, Fingerprint, Review, Suspicion, Witness};
+use bramblecrank::quarantine::{CrashAnalysis, Fingerprint, ObservationLog, Review, Suspicion};
 use bramblecrank::registry::EndpointStart;
 
 use bramblecrank::wire::HostId;
@@ -31,16 +31,16 @@
 pub struct Judge {
     way: Way,
     counts: BTreeMap<(usize, Fingerprint), BTreeSet<EndpointStart>>,
-    witnesses: Vec<Witness>,
+    observation_logs: Vec<ObservationLog>,
     analysis: CrashAnalysis,
     refused: BTreeSet<Fingerprint>,
 }
 
 impl Judge {
     pub fn new(way: Way) -> Judge {
-        let witnesses = vec![Witness::default(); ROUTERS];
+        let observation_logs = vec![ObservationLog::default(); ROUTERS];
         let (counts, analysis, refused) = Default::default();
-        Judge { way, counts, witnesses, analysis, refused }
+        Judge { way, counts, observation_logs, analysis, refused }
     }
 
     pub fn lost(
@@ -53,7 +53,7 @@
     ) {
         let (endpoint, fingerprint) = (endpoint.clone(), fingerprint.clone());
         if self.way == Way::FewestThatExplain {
-            self.witnesses[router].lost(now, endpoint, fingerprint, ran_ms);
+            self.observation_logs[router].lost(now, endpoint, fingerprint, ran_ms);
         } else {
             let counter = if self.way == Way::EachRouterThree { router } else { 0 };
             self.counts.entry((counter, fingerprint)).or_default().insert(endpoint);
@@ -61,12 +61,12 @@
     }
 
     pub fn answered(&mut self, now: u64, router: usize, endpoint: &EndpointStart) {
-        self.witnesses[router].answered(now, endpoint, now);
+        self.observation_logs[router].answered(now, endpoint, now);
     }
 
     pub fn served(&mut self, now: u64, router: usize, fingerprint: &Fingerprint) {
         let is_suspect = self.refused.contains(fingerprint);
-        self.witnesses[router].served(now, fingerprint, is_suspect);
+        self.observation_logs[router].served(now, fingerprint, is_suspect);
     }
 
     /// What the leader does with what routers tell it, without the way there and back.
@@ -75,12 +75,12 @@
             return;
         }
         let mut has_news = now.is_multiple_of(LOOK_EVERY_MS);
-        for (router, witness) in (0..).zip(&mut self.witnesses) {
-            if witness.due().is_none_or(|due| due > now) {
+        for (router, observation_log) in (0..).zip(&mut self.observation_logs) {
+            if observation_log.due().is_none_or(|due| due > now) {
                 continue;
             }
             has_news = true;
-            for observation in witness.report(now).observations {
+            for observation in observation_log.report(now).observations {
                 self.analysis.record(now, HostId(router), observation);
             }
         }
@@ -96,8 +96,8 @@
         let served = self.analysis.take_served();
         self.refused.retain(|f| !cleared.contains(f) && !served.contains(f));
         for blame in blamed {
-            for witness in &mut self.witnesses {
-                witness.refused(now, &blame.fingerprint);
+            for observation_log in &mut self.observation_logs {
+                observation_log.refused(now, &blame.fingerprint);
             }
             self.refused.insert(blame.fingerprint);
         }
