--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -71,7 +71,7 @@
     fn decide(&mut self, control: &Arc<Control>, now: Millis) {
         let agreed = control.quarantine.agreed();
         for fingerprint in self.agreed.let_run_again(&agreed) {
-            self.analysis.forgive(now, fingerprint);
+            self.analysis.discard_losses(now, fingerprint);
         }
         self.agreed = agreed.clone();
         let epoch = epoch_ms();
--- a/src/quarantine/crash_analysis.rs
+++ b/src/quarantine/crash_analysis.rs
@@ -134,7 +134,7 @@
 
     /// A request may run again, by its time or an operator's word: crashes before count no
     /// more.
-    pub fn forgive(&mut self, now: Millis, fingerprint: &Fingerprint) {
+    pub fn discard_losses(&mut self, now: Millis, fingerprint: &Fingerprint) {
         for crash in &mut self.crashes {
             crash.lost.remove(fingerprint);
         }
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -85,7 +85,7 @@
         self.doubts().note(self.clock.now(), &endpoint);
         self.has_doubts.store(true, Ordering::Relaxed);
         self.see(|now, observation_log| {
-            observation_log.lost(now, endpoint, fingerprint.clone(), ran_ms)
+            observation_log.record_loss(now, endpoint, fingerprint.clone(), ran_ms)
         });
     }
 
@@ -102,7 +102,7 @@
         drop(doubts);
         if is_refuted {
             let endpoint = EndpointStart { id: endpoint.to_string(), started_at_ms };
-            self.see(|now, observation_log| observation_log.answered(now, &endpoint, sent));
+            self.see(|now, observation_log| observation_log.record_answer(now, &endpoint, sent));
         }
     }
 
@@ -114,7 +114,9 @@
     /// A request was served whole.
     pub fn served(&self, fingerprint: &Fingerprint) {
         let is_suspect = self.shared.agreed().get(fingerprint).is_some();
-        self.see(|now, observation_log| observation_log.served(now, fingerprint, is_suspect));
+        self.see(|now, observation_log| {
+            observation_log.record_served(now, fingerprint, is_suspect)
+        });
     }
 
     fn see(&self, see: impl FnOnce(Millis, &mut ObservationLog) -> Option<Observation>) {
@@ -160,12 +162,12 @@
                 now.revision(),
             );
             if quarantine.stage == Stage::Refused {
-                seen.observation_log.refused(self.clock.now(), fingerprint);
+                seen.observation_log.record_refusal(self.clock.now(), fingerprint);
             }
         }
         for fingerprint in before.let_run_again(now) {
-            seen.observation_log.forgive(fingerprint);
-            seen.alone.forgive(self.clock.now(), fingerprint);
+            seen.observation_log.discard_losses(fingerprint);
+            seen.alone.discard_losses(self.clock.now(), fingerprint);
         }
         for (fingerprint, _) in before.all().filter(|(f, _)| now.get(f).is_none()) {
             log::info!("quarantine: {fingerprint} is released, revision {}", now.revision());
--- a/src/quarantine/observation_log.rs
+++ b/src/quarantine/observation_log.rs
@@ -44,7 +44,7 @@
 impl ObservationLog {
     /// An endpoint broke off a request's answer. Returns the observation, unless the request
     /// was served a moment ago.
-    pub fn lost(
+    pub fn record_loss(
         &mut self,
         now: Millis,
         endpoint: EndpointStart,
@@ -59,7 +59,7 @@
 
     /// An endpoint answered a request that was sent to it at `sent`. Returns the
     /// observation where it had broken off others before, which it did not end by.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Millis,
         at: &EndpointStart,
@@ -76,7 +76,7 @@
 
     /// A request was served whole. Returns the observation where it was lost before, or
     /// `is_suspect` by what was agreed.
-    pub fn served(
+    pub fn record_served(
         &mut self,
         now: Millis,
         fingerprint: &Fingerprint,
@@ -84,19 +84,19 @@
     ) -> Option<Observation> {
         self.served.note(now, fingerprint);
         let before = self.kept.len();
-        self.forgive(fingerprint);
+        self.discard_losses(fingerprint);
         let was_lost = self.kept.len() < before;
         (was_lost || is_suspect).then(|| self.keep(now, Observed::Served(fingerprint.clone())))
     }
 
     /// A request may run again: what was lost of it counts no more.
-    pub fn forgive(&mut self, fingerprint: &Fingerprint) {
+    pub fn discard_losses(&mut self, fingerprint: &Fingerprint) {
         self.kept.retain(|kept| !kept.is_loss_of(fingerprint));
     }
 
     /// A request is refused from now on: it is kept for the leader if it was served here,
     /// a moment before it was blamed.
-    pub fn refused(&mut self, now: Millis, fingerprint: &Fingerprint) {
+    pub fn record_refusal(&mut self, now: Millis, fingerprint: &Fingerprint) {
         let last = self.served.last(fingerprint);
         if let Some(at) = last.filter(|at| now < at + SERVED_MS) {
             self.keep(at, Observed::Served(fingerprint.clone()));
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -283,7 +283,7 @@
         crash(&mut analysis, endpoint * 100, endpoint, &[("culprit", 100)]);
     }
     assert_eq!(blamed(&mut analysis), [request("culprit")]);
-    analysis.forgive(5_000, &request("culprit"));
+    analysis.discard_losses(5_000, &request("culprit"));
     // A router tells of what it lost before once more.
     crash(&mut analysis, 4_000, 9, &[("culprit", 100)]);
     for endpoint in 4..6 {
@@ -317,6 +317,6 @@
     assert!(analysis.is_due(1_500));
     analysis.review(1_500, |_| Suspicion::None);
     assert!(!analysis.is_due(9_000));
-    analysis.forgive(9_000, &request("a"));
+    analysis.discard_losses(9_000, &request("a"));
     assert!(analysis.is_due(9_000));
 }
--- a/src/quarantine/tests/observation_log.rs
+++ b/src/quarantine/tests/observation_log.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_router_tells_the_leader_what_it_lost_three_times_and_a_new_leader_anew() {
     let mut observation_log = ObservationLog::default();
-    observation_log.lost(0, start(1), request("a"), 100).unwrap();
+    observation_log.record_loss(0, start(1), request("a"), 100).unwrap();
     let told =
         |observation_log: &mut ObservationLog, now| observation_log.report(now).observations.len();
     assert_eq!(
@@ -23,28 +23,32 @@
 #[test]
 fn a_router_takes_back_what_turns_out_otherwise() {
     let mut observation_log = ObservationLog::default();
-    observation_log.lost(0, start(1), request("a"), 100);
-    observation_log.lost(0, start(1), request("b"), 100);
-    observation_log.lost(0, start(2), request("a"), 100);
-    assert_eq!(observation_log.answered(50, &start(1), 0), None, "it was sent before");
-    let alive = observation_log.answered(60, &start(1), 40).unwrap();
+    observation_log.record_loss(0, start(1), request("a"), 100);
+    observation_log.record_loss(0, start(1), request("b"), 100);
+    observation_log.record_loss(0, start(2), request("a"), 100);
+    assert_eq!(observation_log.record_answer(50, &start(1), 0), None, "it was sent before");
+    let alive = observation_log.record_answer(60, &start(1), 40).unwrap();
     assert_eq!(alive.what, Observed::Alive(start(1)));
-    assert_eq!(observation_log.answered(70, &start(1), 60), None, "that is known");
-    let served = observation_log.served(80, &request("a"), false).unwrap();
+    assert_eq!(observation_log.record_answer(70, &start(1), 60), None, "that is known");
+    let served = observation_log.record_served(80, &request("a"), false).unwrap();
     assert_eq!(served.what, Observed::Served(request("a")));
     let left = observation_log.report(100).observations;
     let left: Vec<_> = left.into_iter().map(|observation| observation.what).collect();
     assert_eq!(left, [Observed::Alive(start(1)), Observed::Served(request("a"))]);
-    assert_eq!(observation_log.lost(5_000, start(3), request("a"), 1), None, "served a moment ago");
-    assert!(observation_log.lost(20_000, start(3), request("a"), 1).is_some());
+    assert_eq!(
+        observation_log.record_loss(5_000, start(3), request("a"), 1),
+        None,
+        "served a moment ago"
+    );
+    assert!(observation_log.record_loss(20_000, start(3), request("a"), 1).is_some());
 }
 
 #[test]
 fn a_router_speaks_for_a_request_that_it_served_right_before_it_was_refused() {
     let mut observation_log = ObservationLog::default();
-    assert_eq!(observation_log.served(1_000, &request("a"), false), None);
-    observation_log.refused(2_000, &request("b"));
-    observation_log.refused(2_000, &request("a"));
+    assert_eq!(observation_log.record_served(1_000, &request("a"), false), None);
+    observation_log.record_refusal(2_000, &request("b"));
+    observation_log.record_refusal(2_000, &request("a"));
     let told = observation_log.report(2_000).observations;
     assert_eq!(told.len(), 1);
     assert_eq!(told[0], Observation { ago_ms: 1_000, what: Observed::Served(request("a")) });
@@ -54,8 +58,8 @@
 fn what_a_router_keeps_is_bounded() {
     let mut observation_log = ObservationLog::default();
     for number in 0..100_000u64 {
-        observation_log.lost(number, start(number), request(&number.to_string()), 1);
-        observation_log.served(number, &request(&format!("served {number}")), false);
+        observation_log.record_loss(number, start(number), request(&number.to_string()), 1);
+        observation_log.record_served(number, &request(&format!("served {number}")), false);
     }
     assert_eq!(observation_log.report(100_000).observations.len(), 512);
 }
--- a/tests/crashes/ways.rs
+++ b/tests/crashes/ways.rs
@@ -53,7 +53,7 @@
     ) {
         let (endpoint, fingerprint) = (endpoint.clone(), fingerprint.clone());
         if self.way == Way::FewestThatExplain {
-            self.observation_logs[router].lost(now, endpoint, fingerprint, ran_ms);
+            self.observation_logs[router].record_loss(now, endpoint, fingerprint, ran_ms);
         } else {
             let counter = if self.way == Way::EachRouterThree { router } else { 0 };
             self.counts.entry((counter, fingerprint)).or_default().insert(endpoint);
@@ -61,12 +61,12 @@
     }
 
     pub fn answered(&mut self, now: u64, router: usize, endpoint: &EndpointStart) {
-        self.observation_logs[router].answered(now, endpoint, now);
+        self.observation_logs[router].record_answer(now, endpoint, now);
     }
 
     pub fn served(&mut self, now: u64, router: usize, fingerprint: &Fingerprint) {
         let is_suspect = self.refused.contains(fingerprint);
-        self.observation_logs[router].served(now, fingerprint, is_suspect);
+        self.observation_logs[router].record_served(now, fingerprint, is_suspect);
     }
 
     /// What the leader does with what routers tell it, without the way there and back.
@@ -97,7 +97,7 @@
         self.refused.retain(|f| !cleared.contains(f) && !served.contains(f));
         for blame in blamed {
             for observation_log in &mut self.observation_logs {
-                observation_log.refused(now, &blame.fingerprint);
+                observation_log.record_refusal(now, &blame.fingerprint);
             }
             self.refused.insert(blame.fingerprint);
         }
