--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -16,7 +16,8 @@
 use bramblecrank::dispatch::{Decision, Dispatcher};
 use bramblecrank::member::Table as Members;
 use bramblecrank::quarantine::{
-    CrashAnalysis, CrashReport, Fingerprint, Observation, Observed, Quarantines, Suspicion, Verdict,
+    CrashAnalysis, CrashReport, Fingerprint, Observation, ObservedEvent, Quarantines, Suspicion,
+    Verdict,
 };
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
@@ -238,7 +239,7 @@
 fn lost(endpoint: u64, request: u64) -> Observation {
     let endpoint = EndpointStart { id: format!("i-{endpoint:010x}"), started_at_ms: 1 };
     let fingerprint = Fingerprint::of("market-traders", &["/p/"], &request.to_be_bytes());
-    Observation { ago_ms: 1, what: Observed::Lost { endpoint, fingerprint, ran_ms: 100 } }
+    Observation { ago_ms: 1, event: ObservedEvent::Lost { endpoint, fingerprint, ran_ms: 100 } }
 }
 
 fn quarantine() {
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -35,6 +35,6 @@
 pub use known_starts::{KnownStarts, StartEvent};
 pub use model::{Quarantine, QuarantineUpdate, Quarantines, Stage, Verdict};
 pub use observation_log::ObservationLog;
-pub use report::{CrashReport, Observation, Observed};
+pub use report::{CrashReport, Observation, ObservedEvent};
 pub use served::RecentlyServed;
 pub use shared::SharedQuarantine;
--- a/src/quarantine/crash_analysis.rs
+++ b/src/quarantine/crash_analysis.rs
@@ -6,7 +6,7 @@
 use super::StartEvent;
 use super::crash::Crash;
 use super::culprits::{Blame, Suspicion, culprits};
-use super::report::{Observation, Observed};
+use super::report::{Observation, ObservedEvent};
 use super::starts::Starts;
 use crate::dispatch::Millis;
 use crate::registry::EndpointStart;
@@ -55,14 +55,14 @@
     pub fn record(&mut self, now: Millis, router: HostId, observation: Observation) {
         let at = now.saturating_sub(observation.ago_ms.into());
         self.has_news = true;
-        match observation.what {
-            Observed::Lost { endpoint, fingerprint, ran_ms } => {
+        match observation.event {
+            ObservedEvent::Lost { endpoint, fingerprint, ran_ms } => {
                 if !self.was_alive(at, &endpoint) && !self.is_innocent(at, &fingerprint) {
                     self.crash(at, router, endpoint).lose(fingerprint, ran_ms);
                 }
             }
-            Observed::Alive(endpoint) => self.alive(now, at, endpoint),
-            Observed::Served(fingerprint) => self.served(at, fingerprint),
+            ObservedEvent::Alive(endpoint) => self.alive(now, at, endpoint),
+            ObservedEvent::Served(fingerprint) => self.served(at, fingerprint),
         }
         self.forget_old(now);
     }
--- a/src/quarantine/observation_log.rs
+++ b/src/quarantine/observation_log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::report::{CrashReport, Observation, Observed};
+use super::report::{CrashReport, Observation, ObservedEvent};
 use super::{Fingerprint, RecentlyServed};
 use crate::dispatch::Millis;
 use crate::registry::EndpointStart;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 struct Kept {
     at: Millis,
-    what: Observed,
+    event: ObservedEvent,
     /// How often it was told to this leader.
     told: usize,
     /// When it is to be told again; none when it was told often enough.
@@ -30,7 +30,7 @@
 
 impl Kept {
     fn is_loss_of(&self, fingerprint: &Fingerprint) -> bool {
-        matches!(&self.what, Observed::Lost { fingerprint: lost, .. } if lost == fingerprint)
+        matches!(&self.event, ObservedEvent::Lost { fingerprint: lost, .. } if lost == fingerprint)
     }
 }
 
@@ -54,7 +54,7 @@
         if self.served.last(&fingerprint).is_some_and(|served| now < served + SERVED_MS) {
             return None;
         }
-        Some(self.keep(now, Observed::Lost { endpoint, fingerprint, ran_ms }))
+        Some(self.keep(now, ObservedEvent::Lost { endpoint, fingerprint, ran_ms }))
     }
 
     /// An endpoint answered a request that was sent to it at `sent`. Returns the
@@ -66,12 +66,12 @@
         sent: Millis,
     ) -> Option<Observation> {
         let is_refuted = |kept: &Kept| {
-            let Observed::Lost { endpoint, .. } = &kept.what else { return false };
+            let ObservedEvent::Lost { endpoint, .. } = &kept.event else { return false };
             endpoint == at && kept.at < sent
         };
         let before = self.kept.len();
         self.kept.retain(|kept| !is_refuted(kept));
-        (self.kept.len() < before).then(|| self.keep(now, Observed::Alive(at.clone())))
+        (self.kept.len() < before).then(|| self.keep(now, ObservedEvent::Alive(at.clone())))
     }
 
     /// A request was served whole. Returns the observation where it was lost before, or
@@ -86,7 +86,7 @@
         let before = self.kept.len();
         self.discard_losses(fingerprint);
         let was_lost = self.kept.len() < before;
-        (was_lost || is_suspect).then(|| self.keep(now, Observed::Served(fingerprint.clone())))
+        (was_lost || is_suspect).then(|| self.keep(now, ObservedEvent::Served(fingerprint.clone())))
     }
 
     /// A request may run again: what was lost of it counts no more.
@@ -99,13 +99,13 @@
     pub fn record_refusal(&mut self, now: Millis, fingerprint: &Fingerprint) {
         let last = self.served.last(fingerprint);
         if let Some(at) = last.filter(|at| now < at + SERVED_MS) {
-            self.keep(at, Observed::Served(fingerprint.clone()));
+            self.keep(at, ObservedEvent::Served(fingerprint.clone()));
         }
     }
 
-    fn keep(&mut self, at: Millis, what: Observed) -> Observation {
-        let observation = Observation { ago_ms: 0, what: what.clone() };
-        self.kept.push_back(Kept { at, what, told: 0, due: Some(at) });
+    fn keep(&mut self, at: Millis, event: ObservedEvent) -> Observation {
+        let observation = Observation { ago_ms: 0, event: event.clone() };
+        self.kept.push_back(Kept { at, event, told: 0, due: Some(at) });
         if self.kept.len() > MOST {
             self.kept.pop_front();
         }
@@ -128,7 +128,7 @@
             kept.due = again.map(|after| now + after);
             kept.told += 1;
             let ago_ms = u32::try_from(now.saturating_sub(kept.at)).unwrap_or(u32::MAX);
-            observations.push(Observation { ago_ms, what: kept.what.clone() });
+            observations.push(Observation { ago_ms, event: kept.event.clone() });
         }
         CrashReport { observations }
     }
--- a/src/quarantine/report.rs
+++ b/src/quarantine/report.rs
@@ -18,12 +18,12 @@
     /// Milliseconds ago.
     pub ago_ms: u32,
     /// What it was.
-    pub what: Observed,
+    pub event: ObservedEvent,
 }
 
 /// What bears on whether a request crashes endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Observed {
+pub enum ObservedEvent {
     /// An endpoint broke off a request's answer.
     Lost {
         /// Where.
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -21,12 +21,12 @@
     EndpointStart { id: format!("e-{number}"), started_at_ms: 0 }
 }
 
-fn seen(what: Observed) -> Observation {
-    Observation { ago_ms: 0, what }
+fn seen(event: ObservedEvent) -> Observation {
+    Observation { ago_ms: 0, event }
 }
 
 fn lost(endpoint: u64, name: &str, ran_ms: u32) -> Observation {
-    seen(Observed::Lost { endpoint: start(endpoint), fingerprint: request(name), ran_ms })
+    seen(ObservedEvent::Lost { endpoint: start(endpoint), fingerprint: request(name), ran_ms })
 }
 
 /// Takes in that requests, which had been there for so long, were lost with an endpoint.
@@ -120,14 +120,14 @@
     for endpoint in 0..3 {
         crash(&mut analysis, 0, endpoint, &[("cut", 100)]);
     }
-    analysis.record(10, HostId(1), seen(Observed::Alive(start(1))));
+    analysis.record(10, HostId(1), seen(ObservedEvent::Alive(start(1))));
     assert_eq!(blamed(&mut analysis), []);
     // Who lost it with the others tells it again.
     crash(&mut analysis, 0, 1, &[("cut", 100)]);
     assert_eq!(blamed(&mut analysis), []);
     // Later it does crash, and that it was there before is told again.
     crash(&mut analysis, 100, 1, &[("cut", 100)]);
-    let again = Observation { ago_ms: 1_000, what: Observed::Alive(start(1)) };
+    let again = Observation { ago_ms: 1_000, event: ObservedEvent::Alive(start(1)) };
     analysis.record(1_010, HostId(1), again);
     assert_eq!(blamed(&mut analysis), [request("cut")]);
 }
@@ -159,7 +159,7 @@
         crash(&mut analysis, 0, endpoint, &[("served", 100)]);
     }
     assert_eq!(blamed(&mut analysis), [request("served")]);
-    analysis.record(500, HostId(1), seen(Observed::Served(request("served"))));
+    analysis.record(500, HostId(1), seen(ObservedEvent::Served(request("served"))));
     assert_eq!(analysis.review(LATER, |_| Suspicion::Refused).cleared, [request("served")]);
     for endpoint in 3..9 {
         crash(&mut analysis, 2_000, endpoint, &[("served", 100)]);
@@ -198,7 +198,7 @@
             analysis.record(
                 endpoint * 400 + 1,
                 HostId(1),
-                seen(Observed::Served(request("beside"))),
+                seen(ObservedEvent::Served(request("beside"))),
             );
         }
     }
--- a/src/quarantine/tests/observation_log.rs
+++ b/src/quarantine/tests/observation_log.rs
@@ -28,13 +28,13 @@
     observation_log.record_loss(0, start(2), request("a"), 100);
     assert_eq!(observation_log.record_answer(50, &start(1), 0), None, "it was sent before");
     let alive = observation_log.record_answer(60, &start(1), 40).unwrap();
-    assert_eq!(alive.what, Observed::Alive(start(1)));
+    assert_eq!(alive.event, ObservedEvent::Alive(start(1)));
     assert_eq!(observation_log.record_answer(70, &start(1), 60), None, "that is known");
     let served = observation_log.record_served(80, &request("a"), false).unwrap();
-    assert_eq!(served.what, Observed::Served(request("a")));
+    assert_eq!(served.event, ObservedEvent::Served(request("a")));
     let left = observation_log.report(100).observations;
-    let left: Vec<_> = left.into_iter().map(|observation| observation.what).collect();
-    assert_eq!(left, [Observed::Alive(start(1)), Observed::Served(request("a"))]);
+    let left: Vec<_> = left.into_iter().map(|observation| observation.event).collect();
+    assert_eq!(left, [ObservedEvent::Alive(start(1)), ObservedEvent::Served(request("a"))]);
     assert_eq!(
         observation_log.record_loss(5_000, start(3), request("a"), 1),
         None,
@@ -51,7 +51,7 @@
     observation_log.record_refusal(2_000, &request("a"));
     let told = observation_log.report(2_000).observations;
     assert_eq!(told.len(), 1);
-    assert_eq!(told[0], Observation { ago_ms: 1_000, what: Observed::Served(request("a")) });
+    assert_eq!(told[0], Observation { ago_ms: 1_000, event: ObservedEvent::Served(request("a")) });
 }
 
 #[test]
--- a/src/quarantine/tests/starts.rs
+++ b/src/quarantine/tests/starts.rs
@@ -15,14 +15,14 @@
 fn lose(analysis: &mut CrashAnalysis, at: Millis, endpoint: EndpointStart) {
     for router in [ROUTER, OTHER] {
         let fingerprint = request("culprit");
-        let what = Observed::Lost { endpoint: endpoint.clone(), fingerprint, ran_ms: 20 };
-        analysis.record(at, router, Observation { ago_ms: 0, what });
+        let event = ObservedEvent::Lost { endpoint: endpoint.clone(), fingerprint, ran_ms: 20 };
+        analysis.record(at, router, Observation { ago_ms: 0, event });
     }
 }
 
 fn alive(analysis: &mut CrashAnalysis, at: Millis, endpoint: EndpointStart) {
-    let what = Observed::Alive(endpoint);
-    analysis.record(at, ROUTER, Observation { ago_ms: 0, what });
+    let event = ObservedEvent::Alive(endpoint);
+    analysis.record(at, ROUTER, Observation { ago_ms: 0, event });
 }
 
 fn started(analysis: &mut CrashAnalysis, at: Millis, start: EndpointStart) {
