--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -16,8 +16,8 @@
 use bramblecrank::dispatch::{Decision, Dispatcher};
 use bramblecrank::member::Table as Members;
 use bramblecrank::quarantine::{
-    CrashAnalysis, CrashReport, Fingerprint, Observation, ObservedEvent, Quarantines, Suspicion,
-    Verdict,
+    CrashAnalysis, CrashReport, Fingerprint, Observation, ObservedEvent, QuarantineState,
+    Quarantines, Verdict,
 };
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
@@ -256,7 +256,7 @@
         let size = format!("{crashes} crashes of {requests} requests");
         row("an observation taken in", &size, taken, "us");
         let start = Instant::now();
-        analysis.review(10_000, |_| Suspicion::None);
+        analysis.review(10_000, |_| QuarantineState::None);
         row("a decision", &size, start.elapsed().as_secs_f64() * 1e3, "ms");
     }
     let observations = (0..64).map(|request| lost(1, request)).collect();
--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -10,7 +10,8 @@
 use crate::clock::epoch_ms;
 use crate::dispatch::Millis;
 use crate::quarantine::{
-    Blame, CrashAnalysis, Fingerprint, KnownStarts, Quarantines, Review, Stage, Suspicion, Verdict,
+    Blame, CrashAnalysis, Fingerprint, KnownStarts, QuarantineState, Quarantines, Review, Stage,
+    Verdict,
 };
 use crate::registry::Scope;
 use crate::telemetry::render_gauges;
@@ -77,13 +78,14 @@
         let epoch = epoch_ms();
         let clock = control.peers.clock;
         let at_epoch = |at_ms| clock.at_epoch(at_ms);
-        let suspicion = |fingerprint: &_| agreed.suspicion(fingerprint, at_epoch);
+        let quarantine_state = |fingerprint: &_| agreed.quarantine_state(fingerprint, at_epoch);
         // What was not agreed on has to be proposed again.
-        let is_refused = |f: &Fingerprint| agreed.suspicion(f, at_epoch) == Suspicion::Refused;
+        let is_refused =
+            |f: &Fingerprint| agreed.quarantine_state(f, at_epoch) == QuarantineState::Refused;
         let is_open = !self.analysis.blamed().iter().all(is_refused);
         let is_due = is_open || self.analysis.is_due(now);
         let Review { blamed, cleared } = match is_due {
-            true => self.analysis.review(now, suspicion),
+            true => self.analysis.review(now, quarantine_state),
             false => Review::default(),
         };
         self.innocent.extend(cleared.into_iter().chain(self.analysis.take_served()));
@@ -92,7 +94,7 @@
         for Blame { fingerprint, crashes, among } in blamed {
             log::info!(
                 "quarantine: {fingerprint} is blamed for {crashes} of {among} crashes, {:?} before",
-                suspicion(&fingerprint)
+                quarantine_state(&fingerprint)
             );
             verdicts.push(Verdict::Refuse { fingerprint, crashes: crashes as u32, at_ms: epoch });
         }
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -29,7 +29,7 @@
 mod tests;
 
 pub use crash_analysis::{CrashAnalysis, Review};
-pub use culprits::{Blame, Suspicion};
+pub use culprits::{Blame, QuarantineState};
 pub use fingerprint::{Fingerprint, InvalidFingerprint};
 pub use guard::{Guard, report_crashes};
 pub use known_starts::{KnownStarts, StartEvent};
--- a/src/quarantine/crash_analysis.rs
+++ b/src/quarantine/crash_analysis.rs
@@ -5,7 +5,7 @@
 use super::Fingerprint;
 use super::StartEvent;
 use super::crash::Crash;
-use super::culprits::{Blame, Suspicion, culprits};
+use super::culprits::{Blame, QuarantineState, culprits};
 use super::report::{Observation, ObservedEvent};
 use super::starts::Starts;
 use crate::dispatch::Millis;
@@ -166,21 +166,26 @@
     }
 
     /// Looks at all crashes anew.
-    pub fn review(&mut self, now: Millis, suspicion: impl Fn(&Fingerprint) -> Suspicion) -> Review {
+    pub fn review(
+        &mut self,
+        now: Millis,
+        quarantine_state: impl Fn(&Fingerprint) -> QuarantineState,
+    ) -> Review {
         self.forget_old(now);
         self.has_news = false;
         self.reviewed_at = now;
         // Those that were refused elsewhere, by crashes that are not known here, need no
         // more proof.
-        let is_settled =
-            |f: &Fingerprint| suspicion(f) == Suspicion::Refused && !self.blamed.contains(f);
+        let is_settled = |f: &Fingerprint| {
+            quarantine_state(f) == QuarantineState::Refused && !self.blamed.contains(f)
+        };
         let confirmed = self.crashes.iter().filter(|crash| crash.is_confirmed(now));
         let confirmed: Vec<_> = confirmed.collect();
-        let mut blamed = culprits(&confirmed, is_settled, &suspicion);
+        let mut blamed = culprits(&confirmed, is_settled, &quarantine_state);
         let is_blamed = |f: &Fingerprint| blamed.iter().any(|blame| blame.fingerprint == *f);
         let cleared: Vec<_> = self.blamed.iter().filter(|f| !is_blamed(f)).cloned().collect();
         self.blamed = blamed.iter().map(|blame| blame.fingerprint.clone()).collect();
-        blamed.retain(|blame| suspicion(&blame.fingerprint) != Suspicion::Refused);
+        blamed.retain(|blame| quarantine_state(&blame.fingerprint) != QuarantineState::Refused);
         Review { blamed, cleared }
     }
 
--- a/src/quarantine/culprits.rs
+++ b/src/quarantine/culprits.rs
@@ -40,7 +40,7 @@
 
 /// How closely a request is looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Suspicion {
+pub enum QuarantineState {
     /// As any other.
     None,
     /// It is refused already: crashes with it need no other explanation.
@@ -80,13 +80,14 @@
 /// slopes`).
 fn cases<'a>(
     crashes: &[&'a Crash],
-    suspicion: &impl Fn(&Fingerprint) -> Suspicion,
+    quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
 ) -> Vec<Case<'a>> {
     let mut times: HashMap<u64, usize> = HashMap::new();
     for fingerprint in crashes.iter().flat_map(|crash| crash.lost.keys()) {
         *times.entry(fingerprint.hash()).or_default() += 1;
     }
-    let is_suspect = |f: &Fingerprint| times[&f.hash()] > 1 || suspicion(f) != Suspicion::None;
+    let is_suspect =
+        |f: &Fingerprint| times[&f.hash()] > 1 || quarantine_state(f) != QuarantineState::None;
     let case = |crash: &&'a Crash| {
         let suspects = crash.lost.iter().filter(|(f, _)| is_suspect(f));
         Case { at: crash.at, suspects: suspects.map(|(f, ran_ms)| (f, *ran_ms)).collect() }
@@ -99,13 +100,13 @@
 pub(super) fn culprits(
     crashes: &[&Crash],
     is_settled: impl Fn(&Fingerprint) -> bool,
-    suspicion: &impl Fn(&Fingerprint) -> Suspicion,
+    quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
 ) -> Vec<Blame> {
-    let mut open = cases(crashes, suspicion);
-    let in_all = records(&open, suspicion);
+    let mut open = cases(crashes, quarantine_state);
+    let in_all = records(&open, quarantine_state);
     open.retain(|case| !case.suspects.iter().any(|(f, _)| is_settled(f)));
     let mut culprits = Vec::new();
-    while let Some(blame) = most_suspect(&open, &in_all, suspicion) {
+    while let Some(blame) = most_suspect(&open, &in_all, quarantine_state) {
         open.retain(|case| !case.is_with(&blame.fingerprint));
         culprits.push(blame);
     }
@@ -128,9 +129,9 @@
 fn most_suspect(
     open: &[Case<'_>],
     in_all: &Records<'_>,
-    suspicion: &impl Fn(&Fingerprint) -> Suspicion,
+    quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
 ) -> Option<Blame> {
-    let records = records(open, suspicion);
+    let records = records(open, quarantine_state);
     let is_repeated = |f: &Fingerprint| records.get(f).is_some_and(|r| r.crashes >= ENOUGH);
     let by_chance = open.iter().filter(|case| !case.suspects.iter().any(|(f, _)| is_repeated(f)));
     let by_chance: Vec<_> = by_chance.map(|case| case.at).collect();
@@ -146,7 +147,10 @@
     most.map(|(fingerprint, record, by_chance)| Blame::of(fingerprint, record.crashes, by_chance))
 }
 
-fn records<'a>(cases: &[Case<'a>], suspicion: &impl Fn(&Fingerprint) -> Suspicion) -> Records<'a> {
+fn records<'a>(
+    cases: &[Case<'a>],
+    quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
+) -> Records<'a> {
     let mut records = Records::new();
     for Case { at, suspects } in cases {
         for (fingerprint, ran_ms) in suspects {
@@ -156,7 +160,7 @@
             record.ran_ms += u64::from(*ran_ms);
             record.first = record.first.min(*at);
             record.last = record.last.max(*at);
-            if let Suspicion::Trial(since) = suspicion(fingerprint) {
+            if let QuarantineState::Trial(since) = quarantine_state(fingerprint) {
                 record.since_trial += usize::from(*at >= since);
             }
         }
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -138,12 +138,12 @@
         let now = self.clock.now();
         let agreed = self.shared.agreed();
         let at_epoch = |at_ms| self.clock.at_epoch(at_ms);
-        let suspicion = |fingerprint: &_| agreed.suspicion(fingerprint, at_epoch);
+        let quarantine_state = |fingerprint: &_| agreed.quarantine_state(fingerprint, at_epoch);
         let mut seen = self.seen();
         if !seen.alone.is_due(now) {
             return;
         }
-        seen.alone.review(now, suspicion);
+        seen.alone.review(now, quarantine_state);
         // Nobody has to be told that they are released.
         seen.alone.take_served();
         seen.refused_alone = seen.alone.blamed().clone();
--- a/src/quarantine/model.rs
+++ b/src/quarantine/model.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Fingerprint, Suspicion};
+use super::{Fingerprint, QuarantineState};
 use crate::dispatch::Millis;
 
 /// Milliseconds for which a request is refused the first time. Its caller may have the
@@ -227,12 +227,16 @@
 
     /// How closely a request is looked at; `at_epoch` tells when on this process's clock it
     /// was a time of day.
-    pub fn suspicion(&self, of: &Fingerprint, at_epoch: impl Fn(u64) -> Millis) -> Suspicion {
+    pub fn quarantine_state(
+        &self,
+        of: &Fingerprint,
+        at_epoch: impl Fn(u64) -> Millis,
+    ) -> QuarantineState {
         match self.get(of) {
-            None => Suspicion::None,
+            None => QuarantineState::None,
             Some(quarantine) => match quarantine.stage {
-                Stage::Refused => Suspicion::Refused,
-                Stage::Trial => Suspicion::Trial(at_epoch(quarantine.since_ms)),
+                Stage::Refused => QuarantineState::Refused,
+                Stage::Trial => QuarantineState::Trial(at_epoch(quarantine.since_ms)),
             },
         }
     }
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -40,7 +40,7 @@
 
 fn blamed(analysis: &mut CrashAnalysis) -> Vec<Fingerprint> {
     analysis
-        .review(LATER, |_| Suspicion::None)
+        .review(LATER, |_| QuarantineState::None)
         .blamed
         .into_iter()
         .map(|blame| blame.fingerprint)
@@ -106,8 +106,8 @@
     }
     assert_eq!(blamed(&mut analysis), [request("beside")]);
     let refused = |f: &Fingerprint| match *f == request("beside") {
-        true => Suspicion::Refused,
-        false => Suspicion::None,
+        true => QuarantineState::Refused,
+        false => QuarantineState::None,
     };
     crash(&mut analysis, 3_500, 3, &[("culprit", 300)]);
     assert_eq!(analysis.review(LATER, refused).cleared, [request("beside")]);
@@ -138,8 +138,11 @@
     for endpoint in 0..3 {
         analysis.record(1_000, HostId(1), lost(endpoint, "cut", 100));
     }
-    assert_eq!(analysis.review(1_499, |_| Suspicion::None).blamed, []);
-    assert_eq!(analysis.review(1_500, |_| Suspicion::None).blamed[0].fingerprint, request("cut"));
+    assert_eq!(analysis.review(1_499, |_| QuarantineState::None).blamed, []);
+    assert_eq!(
+        analysis.review(1_500, |_| QuarantineState::None).blamed[0].fingerprint,
+        request("cut")
+    );
     // Where others lose something at the same endpoints, nothing is waited for.
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
@@ -147,7 +150,7 @@
         analysis.record(1_000, HostId(2), lost(endpoint, &format!("beside {endpoint}"), 100));
     }
     assert_eq!(
-        analysis.review(1_001, |_| Suspicion::None).blamed[0].fingerprint,
+        analysis.review(1_001, |_| QuarantineState::None).blamed[0].fingerprint,
         request("culprit")
     );
 }
@@ -160,7 +163,7 @@
     }
     assert_eq!(blamed(&mut analysis), [request("served")]);
     analysis.record(500, HostId(1), seen(ObservedEvent::Served(request("served"))));
-    assert_eq!(analysis.review(LATER, |_| Suspicion::Refused).cleared, [request("served")]);
+    assert_eq!(analysis.review(LATER, |_| QuarantineState::Refused).cleared, [request("served")]);
     for endpoint in 3..9 {
         crash(&mut analysis, 2_000, endpoint, &[("served", 100)]);
     }
@@ -213,7 +216,7 @@
 fn on_trial_one_crash_is_enough() {
     let mut analysis = CrashAnalysis::default();
     crash(&mut analysis, 500, 1, &[("on trial", 100)]);
-    let since = |at| move |_: &Fingerprint| Suspicion::Trial(at);
+    let since = |at| move |_: &Fingerprint| QuarantineState::Trial(at);
     assert_eq!(analysis.review(LATER, since(1_000)).blamed, []);
     assert_eq!(analysis.review(LATER, since(400)).blamed[0].fingerprint, request("on trial"));
 }
@@ -225,8 +228,8 @@
         crash(&mut analysis, endpoint * 100, endpoint, &[("refused", 10), ("beside", 5)]);
     }
     let refused = |f: &Fingerprint| match *f == request("refused") {
-        true => Suspicion::Refused,
-        false => Suspicion::None,
+        true => QuarantineState::Refused,
+        false => QuarantineState::None,
     };
     assert_eq!(analysis.review(LATER, refused).blamed, []);
 }
@@ -237,7 +240,7 @@
     crash(&mut analysis, 0, 1, &[("rare", 100)]);
     crash(&mut analysis, MINUTE_MS, 2, &[("rare", 100)]);
     crash(&mut analysis, 15 * MINUTE_MS, 3, &[("rare", 100)]);
-    assert_eq!(analysis.review(15 * MINUTE_MS, |_| Suspicion::None), Review::default());
+    assert_eq!(analysis.review(15 * MINUTE_MS, |_| QuarantineState::None), Review::default());
     // A customer whose every request crashes something pushes nothing out that matters.
     let mut analysis = CrashAnalysis::default();
     for number in 0..10_000 {
@@ -312,10 +315,10 @@
     assert!(!analysis.is_due(0));
     analysis.record(1_000, HostId(1), lost(1, "a", 100));
     assert!(analysis.is_due(1_000));
-    analysis.review(1_000, |_| Suspicion::None);
+    analysis.review(1_000, |_| QuarantineState::None);
     assert!(!analysis.is_due(1_499));
     assert!(analysis.is_due(1_500));
-    analysis.review(1_500, |_| Suspicion::None);
+    analysis.review(1_500, |_| QuarantineState::None);
     assert!(!analysis.is_due(9_000));
     analysis.discard_losses(9_000, &request("a"));
     assert!(analysis.is_due(9_000));
--- a/src/quarantine/tests/starts.rs
+++ b/src/quarantine/tests/starts.rs
@@ -30,7 +30,7 @@
 }
 
 fn blamed(analysis: &mut CrashAnalysis, at: Millis) -> usize {
-    analysis.review(at, |_| Suspicion::None).blamed.len()
+    analysis.review(at, |_| QuarantineState::None).blamed.len()
 }
 
 /// Three endpoints crash, and each answers again under the start that crashed.
--- a/tests/crashes/ways.rs
+++ b/tests/crashes/ways.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bramblecrank::quarantine::{CrashAnalysis, Fingerprint, ObservationLog, Review, Suspicion};
+use bramblecrank::quarantine::{
+    CrashAnalysis, Fingerprint, ObservationLog, QuarantineState, Review,
+};
 use bramblecrank::registry::EndpointStart;
 
 use bramblecrank::wire::HostId;
@@ -88,11 +90,11 @@
             return;
         }
         let refused = &self.refused;
-        let suspicion = |f: &Fingerprint| match refused.contains(f) {
-            true => Suspicion::Refused,
-            false => Suspicion::None,
+        let quarantine_state = |f: &Fingerprint| match refused.contains(f) {
+            true => QuarantineState::Refused,
+            false => QuarantineState::None,
         };
-        let Review { blamed, cleared } = self.analysis.review(now, suspicion);
+        let Review { blamed, cleared } = self.analysis.review(now, quarantine_state);
         let served = self.analysis.take_served();
         self.refused.retain(|f| !cleared.contains(f) && !served.contains(f));
         for blame in blamed {
