--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -71,7 +71,7 @@
 
     fn decide(&mut self, control: &Arc<Control>, now: Millis) {
         let agreed = control.quarantine.agreed();
-        for fingerprint in self.agreed.let_run_again(&agreed) {
+        for fingerprint in self.agreed.no_longer_refused(&agreed) {
             self.analysis.discard_losses(now, fingerprint);
         }
         self.agreed = agreed.clone();
@@ -100,7 +100,7 @@
         }
         let over = |stage, until_ms| stage == Stage::Refused && until_ms <= epoch;
         let over = agreed.all().filter(|(_, q)| over(q.stage, q.until_ms));
-        verdicts.extend(over.map(|(f, _)| Verdict::Try { fingerprint: f.clone(), at_ms: epoch }));
+        verdicts.extend(over.map(|(f, _)| Verdict::Trial { fingerprint: f.clone(), at_ms: epoch }));
         self.proposed.retain(|_, (_, at)| now < *at + PROPOSE_EVERY_MS);
         for verdict in verdicts {
             self.propose(control, now, verdict);
@@ -112,7 +112,7 @@
     fn propose(&mut self, control: &Arc<Control>, now: Millis, verdict: Verdict) {
         let fingerprint = verdict.fingerprint().clone();
         let before = self.proposed.get(&fingerprint);
-        if before.is_some_and(|(before, _)| before.is_like(&verdict)) {
+        if before.is_some_and(|(before, _)| before.is_same_kind(&verdict)) {
             return;
         }
         self.proposed.insert(fingerprint, (verdict.clone(), now));
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -165,7 +165,7 @@
                 seen.observation_log.record_refusal(self.clock.now(), fingerprint);
             }
         }
-        for fingerprint in before.let_run_again(now) {
+        for fingerprint in before.no_longer_refused(now) {
             seen.observation_log.discard_losses(fingerprint);
             seen.alone.discard_losses(self.clock.now(), fingerprint);
         }
--- a/src/quarantine/model.rs
+++ b/src/quarantine/model.rs
@@ -60,7 +60,7 @@
         at_ms: u64,
     },
     /// Its time is over: it may run again.
-    Try {
+    Trial {
         /// The request.
         fingerprint: Fingerprint,
         /// When, in milliseconds since the epoch.
@@ -74,13 +74,13 @@
     /// The request.
     pub fn fingerprint(&self) -> &Fingerprint {
         match self {
-            Verdict::Refuse { fingerprint, .. } | Verdict::Try { fingerprint, .. } => fingerprint,
+            Verdict::Refuse { fingerprint, .. } | Verdict::Trial { fingerprint, .. } => fingerprint,
             Verdict::Release(fingerprint) => fingerprint,
         }
     }
 
     /// Whether it says the same as another of the same request, at whatever time.
-    pub fn is_like(&self, other: &Verdict) -> bool {
+    pub fn is_same_kind(&self, other: &Verdict) -> bool {
         std::mem::discriminant(self) == std::mem::discriminant(other)
     }
 }
@@ -91,7 +91,7 @@
             Verdict::Refuse { fingerprint, crashes, .. } => {
                 write!(f, "{fingerprint} is refused after {crashes} crashes")
             }
-            Verdict::Try { fingerprint, .. } => write!(f, "{fingerprint} may run again"),
+            Verdict::Trial { fingerprint, .. } => write!(f, "{fingerprint} may run again"),
             Verdict::Release(fingerprint) => write!(f, "{fingerprint} is released"),
         }
     }
@@ -140,7 +140,7 @@
             Verdict::Refuse { fingerprint, crashes, at_ms } => {
                 self.refuse(fingerprint, crashes, at_ms)
             }
-            Verdict::Try { fingerprint, at_ms } => self.try_again(&fingerprint, at_ms),
+            Verdict::Trial { fingerprint, at_ms } => self.try_again(&fingerprint, at_ms),
             Verdict::Release(fingerprint) => self.release(&fingerprint),
         };
         self.revision += u64::from(has_changed);
@@ -252,7 +252,7 @@
     }
 
     /// Requests that are refused here and were let run again until `later`.
-    pub fn let_run_again<'a>(
+    pub fn no_longer_refused<'a>(
         &'a self,
         later: &'a Quarantines,
     ) -> impl Iterator<Item = &'a Fingerprint> {
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -301,8 +301,8 @@
     before.apply(refuse("c", 1));
     let mut later = before.clone();
     later.apply(Verdict::Release(request("a")));
-    later.apply(Verdict::Try { fingerprint: request("b"), at_ms: 2 });
-    let mut again: Vec<_> = before.let_run_again(&later).cloned().collect();
+    later.apply(Verdict::Trial { fingerprint: request("b"), at_ms: 2 });
+    let mut again: Vec<_> = before.no_longer_refused(&later).cloned().collect();
     again.sort();
     let mut expected = ["a", "b"].map(request);
     expected.sort();
--- a/src/quarantine/tests/model.rs
+++ b/src/quarantine/tests/model.rs
@@ -10,7 +10,7 @@
     let revision = all.revision();
     all.apply(refuse("a", 2_000));
     assert_eq!(all.revision(), revision, "it is refused already");
-    all.apply(Verdict::Try { fingerprint: request("a"), at_ms: 700_000 });
+    all.apply(Verdict::Trial { fingerprint: request("a"), at_ms: 700_000 });
     assert_eq!(all.get(&request("a")).unwrap().stage, Stage::Trial);
     all.apply(refuse("a", 800_000));
     let again = all.get(&request("a")).unwrap();
@@ -46,7 +46,7 @@
         refuse("a", 1),
         refuse("b", 2),
         Verdict::Release(request("a")),
-        Verdict::Try { fingerprint: request("b"), at_ms: 3 },
+        Verdict::Trial { fingerprint: request("b"), at_ms: 3 },
         refuse("c", 4),
         Verdict::Release(request("b")),
     ];
