--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -28,23 +28,23 @@
         );
         let endpoint =
             EndpointStart { id: ticket.endpoint.clone(), started_at_ms: ticket.started_at_ms };
-        self.gateway.guard.lost(endpoint, &self.fingerprint, ran);
+        self.gateway.guard.record_loss(endpoint, &self.fingerprint, ran);
     }
 
     /// The endpoint began its own answer to this request: it is there.
     pub(super) fn answered_by(&self, ticket: &Ticket) {
         let sent_ago = ticket.observed.sent_ago();
-        self.gateway.guard.answered(&ticket.endpoint, ticket.started_at_ms, sent_ago);
+        self.gateway.guard.record_answer(&ticket.endpoint, ticket.started_at_ms, sent_ago);
     }
 
     /// The endpoint sends on its answer: it is there.
     pub(super) fn heard_from(&self, ticket: &Ticket) {
-        self.gateway.guard.heard(&ticket.endpoint, ticket.started_at_ms);
+        self.gateway.guard.record_stream_data(&ticket.endpoint, ticket.started_at_ms);
     }
 
     /// It was served whole.
     pub(super) fn served(&self) {
-        self.gateway.guard.served(&self.fingerprint);
+        self.gateway.guard.record_served(&self.fingerprint);
     }
 
     /// Why it is not sent to any endpoint, if it crashes them.
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -20,7 +20,7 @@
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
 use crate::placement::{Ending, LocalPlacer, Placements, Reservation};
-use crate::quarantine::{Guard, KnownStarts, SharedQuarantine};
+use crate::quarantine::{CrashGuard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
 use crate::routing::Documents;
@@ -43,7 +43,7 @@
     /// Releases that are rolled out.
     pub rollouts: Arc<SharedRollouts>,
     /// Which requests crash endpoints.
-    pub guard: Arc<Guard>,
+    pub guard: Arc<CrashGuard>,
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Where requests for engines go.
@@ -84,7 +84,7 @@
         let rollouts = Arc::new(SharedRollouts::default());
         let hall = settings.host.hall.clone();
         let quarantine = Arc::new(SharedQuarantine::default());
-        let guard = Arc::new(Guard::new(quarantine.clone(), peers.me, peers.clock));
+        let guard = Arc::new(CrashGuard::new(quarantine.clone(), peers.me, peers.clock));
         let followed = Followed {
             documents: documents.clone(),
             registry: registry.clone(),
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! what all routers lost, and blames the fewest requests that explain the crashes
 //! ([`CrashAnalysis`]). Whom it blames is agreed on by the control hosts ([`Quarantines`]), so that
 //! it outlives them, and told to every router by feed. A router without a leader in reach
-//! blames by what it saw itself ([`Guard`]).
+//! blames by what it saw itself ([`CrashGuard`]).
 //!
 //! A request that was only beside a crash is not blamed for it once the culprit is known, nor
 //! one that is served elsewhere, nor is anything blamed for an endpoint that goes on
@@ -31,7 +31,7 @@
 pub use crash_analysis::{CrashAnalysis, Review};
 pub use culprits::{Blame, QuarantineState};
 pub use fingerprint::{Fingerprint, InvalidFingerprint};
-pub use guard::{Guard, report_crashes};
+pub use guard::{CrashGuard, report_crashes};
 pub use known_starts::{KnownStarts, StartEvent};
 pub use model::{Quarantine, QuarantineUpdate, Quarantines, Stage, Verdict};
 pub use observation_log::ObservationLog;
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -34,7 +34,7 @@
 
 /// What a router knows of requests that crash endpoints.
 #[derive(Debug)]
-pub struct Guard {
+pub struct CrashGuard {
     shared: Arc<SharedQuarantine>,
     me: HostId,
     clock: Clock,
@@ -53,10 +53,10 @@
     refused_alone: BTreeSet<Fingerprint>,
 }
 
-impl Guard {
+impl CrashGuard {
     /// The guard of router `me`, which has seen nothing, with what is agreed.
-    pub fn new(shared: Arc<SharedQuarantine>, me: HostId, clock: Clock) -> Guard {
-        Guard {
+    pub fn new(shared: Arc<SharedQuarantine>, me: HostId, clock: Clock) -> CrashGuard {
+        CrashGuard {
             shared,
             me,
             clock,
@@ -80,7 +80,7 @@
     }
 
     /// An endpoint broke off a request's answer.
-    pub fn lost(&self, endpoint: EndpointStart, fingerprint: &Fingerprint, ran: Duration) {
+    pub fn record_loss(&self, endpoint: EndpointStart, fingerprint: &Fingerprint, ran: Duration) {
         let ran_ms = u32::try_from(ran.as_millis()).unwrap_or(u32::MAX);
         self.doubts().note(self.clock.now(), &endpoint);
         self.has_doubts.store(true, Ordering::Relaxed);
@@ -90,7 +90,7 @@
     }
 
     /// An endpoint answered a request that was sent to it so long ago.
-    pub fn answered(&self, endpoint: &str, started_at_ms: u64, sent_ago: Duration) {
+    pub fn record_answer(&self, endpoint: &str, started_at_ms: u64, sent_ago: Duration) {
         if !self.has_doubts.load(Ordering::Relaxed) {
             return;
         }
@@ -107,12 +107,12 @@
     }
 
     /// An endpoint sends on an answer that began before.
-    pub fn heard(&self, endpoint: &str, started_at_ms: u64) {
-        self.answered(endpoint, started_at_ms, READ_LATE);
+    pub fn record_stream_data(&self, endpoint: &str, started_at_ms: u64) {
+        self.record_answer(endpoint, started_at_ms, READ_LATE);
     }
 
     /// A request was served whole.
-    pub fn served(&self, fingerprint: &Fingerprint) {
+    pub fn record_served(&self, fingerprint: &Fingerprint) {
         let is_suspect = self.shared.agreed().get(fingerprint).is_some();
         self.see(|now, observation_log| {
             observation_log.record_served(now, fingerprint, is_suspect)
@@ -204,7 +204,7 @@
 }
 
 /// Tells whoever leads what this router saw of crashes, until the process ends.
-pub async fn report_crashes(guard: Arc<Guard>, feeds: Arc<Subscriptions>) {
+pub async fn report_crashes(guard: Arc<CrashGuard>, feeds: Arc<Subscriptions>) {
     let mut agreed = guard.shared.watch();
     let mut known = Arc::<Quarantines>::default();
     let mut told = None;
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -267,7 +267,7 @@
         }
         match attempt {
             Attempt::Answered(Answer::Whole(response)) => {
-                self.router.guard.served(&self.fingerprint);
+                self.router.guard.record_served(&self.fingerprint);
                 let units = self.units_of(&response, started);
                 self.count(units);
                 ticket.finish(units, Ending::Answered);
@@ -299,7 +299,7 @@
     /// connection broke.
     fn lost_at(&self, endpoint: &str, ran: Duration) {
         self.decide("delivery", format!("lost at {endpoint}, fingerprint {}", self.fingerprint));
-        self.router.guard.lost(start_of(endpoint), &self.fingerprint, ran);
+        self.router.guard.record_loss(start_of(endpoint), &self.fingerprint, ran);
     }
 
     /// What its caller is told if it crashes endpoints.
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -20,7 +20,7 @@
 use crate::feed::{Followed, Subscriptions};
 use crate::host_list;
 use crate::peer::Peers;
-use crate::quarantine::{Guard, report_crashes};
+use crate::quarantine::{CrashGuard, report_crashes};
 use crate::settings::{DispatchMode, RouterSettings};
 use crate::spread::{self, Configs};
 use crate::telemetry::{Metrics, RequestId, Trace};
@@ -50,7 +50,7 @@
     /// Calls endpoints.
     pub caller: Caller,
     /// Which requests crash endpoints.
-    pub guard: Arc<Guard>,
+    pub guard: Arc<CrashGuard>,
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Claims of calls that may not be repeated.
@@ -93,7 +93,7 @@
         );
         let claims = Claims::start(peers.clone());
         let followed = Followed::default();
-        let guard = Arc::new(Guard::new(followed.quarantine.clone(), peers.me, peers.clock));
+        let guard = Arc::new(CrashGuard::new(followed.quarantine.clone(), peers.me, peers.clock));
         let hall = settings.host.hall.clone();
         let feeds = Subscriptions::start(peers.clone(), followed, &hall, Role::Router);
         Arc::new(Router {
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -244,11 +244,11 @@
         let (engine, fingerprint) = (&self.engine.name, &self.fingerprint);
         let text = format!("lost at {engine}, fingerprint {fingerprint}");
         self.router.trace.decide(self.id, "delivery", text);
-        self.router.guard.lost(start_of(engine), fingerprint, self.began.elapsed());
+        self.router.guard.record_loss(start_of(engine), fingerprint, self.began.elapsed());
     }
 
     fn finish_whole(&mut self) {
-        self.router.guard.served(&self.fingerprint);
+        self.router.guard.record_served(&self.fingerprint);
         self.finish(Ending::Answered);
     }
 
