--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -241,7 +241,7 @@
                 None
             }
             FeedRequest::CrashReport(report) => {
-                if !publication.followed.quarantine.report(publication.subscriber, report) {
+                if !publication.followed.quarantine.receive_report(publication.subscriber, report) {
                     log::warn!("quarantine: too many reports of crashes, one is dropped");
                 }
                 None
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -59,7 +59,7 @@
     }
 
     /// A router reported to this host; false where it is dropped.
-    pub fn report(&self, router: HostId, report: CrashReport) -> bool {
+    pub fn receive_report(&self, router: HostId, report: CrashReport) -> bool {
         let mut waiting = self.waiting();
         let has_room = waiting.len() + report.observations.len() <= MOST_WAITING;
         if has_room {
