--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -8,7 +8,7 @@
 use super::request::Call;
 use super::state::Gateway;
 use crate::dispatch::Millis;
-use crate::notice::{Notice, RestAsked};
+use crate::notice::{Notice, RequestedRest};
 use crate::placement::StartOf;
 use crate::registry::{EndpointStart, Hearing, Registration};
 
@@ -27,7 +27,7 @@
         }
         let notice = self.gateway.dialect.read_notice(status, response.headers());
         self.gateway.take_notice(endpoint, &notice);
-        notice.rest.time().is_some()
+        notice.rest.duration_ms().is_some()
     }
 
     /// Milliseconds until the first endpoint that may serve it ends its rest, where all of
@@ -54,13 +54,13 @@
             self.leaves(EndpointStart::of(endpoint));
         }
         match &notice.rest {
-            RestAsked::None => {}
-            RestAsked::For(time) => {
+            RequestedRest::None => {}
+            RequestedRest::For(time) => {
                 self.count_notice(endpoint, "rests");
                 log::info!("gateway: endpoint {} asks for {time} ms of rest", endpoint.id);
                 self.rests(endpoint, *time);
             }
-            RestAsked::Unreadable(says) => {
+            RequestedRest::Unreadable(says) => {
                 self.count_notice(endpoint, "unreadable");
                 log::info!("gateway: endpoint {} asks for no time: {says:?}", endpoint.id);
             }
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -27,12 +27,12 @@
     /// It finishes what it has and wants nothing new.
     pub leaves: bool,
     /// For how long it wants nothing from who asked.
-    pub rest: RestAsked,
+    pub rest: RequestedRest,
 }
 
 /// For how long an endpoint that turned a request away wants no more of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum RestAsked {
+pub enum RequestedRest {
     /// It names no time.
     #[default]
     None,
@@ -49,7 +49,7 @@
         let says_so = |value: &HeaderValue| value.as_bytes().trim_ascii() == LEAVES;
         Notice {
             leaves: headers.get_all(leaving).iter().any(says_so),
-            rest: RestAsked::read(status, headers),
+            rest: RequestedRest::read(status, headers),
         }
     }
 }
@@ -57,28 +57,28 @@
 impl Notice {
     /// Whether the endpoint wants no new work, at least for a while.
     pub fn refuses_work(&self) -> bool {
-        self.leaves || self.rest.time().is_some()
+        self.leaves || self.rest.duration_ms().is_some()
     }
 }
 
-impl RestAsked {
+impl RequestedRest {
     /// Only who turns a request away asks for rest.
-    fn read(status: StatusCode, headers: &HeaderMap) -> RestAsked {
+    fn read(status: StatusCode, headers: &HeaderMap) -> RequestedRest {
         let turns_away =
             matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
         match headers.get(header::RETRY_AFTER).filter(|_| turns_away) {
-            None => RestAsked::None,
+            None => RequestedRest::None,
             Some(value) => match value.to_str().ok().and_then(milliseconds) {
-                Some(time) => RestAsked::For(time),
-                None => RestAsked::Unreadable(value.clone()),
+                Some(time) => RequestedRest::For(time),
+                None => RequestedRest::Unreadable(value.clone()),
             },
         }
     }
 
     /// The time that is to be kept to, if one was asked.
-    pub fn time(&self) -> Option<Millis> {
+    pub fn duration_ms(&self) -> Option<Millis> {
         match self {
-            RestAsked::For(time) if *time > 0 => Some(*time),
+            RequestedRest::For(time) if *time > 0 => Some(*time),
             _ => None,
         }
     }
--- a/src/notice/tests.rs
+++ b/src/notice/tests.rs
@@ -17,7 +17,7 @@
     Notice::read(StatusCode::from_u16(status).unwrap(), &map, &LEAVING)
 }
 
-fn rest(status: u16, says: &str) -> RestAsked {
+fn rest(status: u16, says: &str) -> RequestedRest {
     read(status, &[("retry-after", says)]).rest
 }
 
@@ -36,28 +36,28 @@
 
 #[test]
 fn only_who_turns_a_request_away_asks_for_rest() {
-    assert_eq!(rest(503, "3"), RestAsked::For(3_000));
-    assert_eq!(rest(429, "0.25"), RestAsked::For(250));
+    assert_eq!(rest(503, "3"), RequestedRest::For(3_000));
+    assert_eq!(rest(429, "0.25"), RequestedRest::For(250));
     for status in [200, 301, 404, 500, 502] {
-        assert_eq!(rest(status, "3"), RestAsked::None);
+        assert_eq!(rest(status, "3"), RequestedRest::None);
     }
-    assert_eq!(read(503, &[]).rest, RestAsked::None);
+    assert_eq!(read(503, &[]).rest, RequestedRest::None);
 }
 
 #[test]
 fn a_time_is_at_most_what_is_believed() {
     for says in ["3600", "3601", "1e300", "inf", "99999999999999999999999999"] {
-        assert_eq!(rest(503, says), RestAsked::For(MAX_REST_MS), "{says}");
+        assert_eq!(rest(503, says), RequestedRest::For(MAX_REST_MS), "{says}");
     }
-    assert_eq!(rest(503, "0.0001"), RestAsked::For(1), "a part of a millisecond is one");
-    assert_eq!(rest(503, "0").time(), None);
+    assert_eq!(rest(503, "0.0001"), RequestedRest::For(1), "a part of a millisecond is one");
+    assert_eq!(rest(503, "0").duration_ms(), None);
 }
 
 #[test]
 fn what_is_no_time_is_none() {
     for says in ["-1", "-inf", "nan", "", "soon", "1, 2", "0x10", "Fri, 31 Dec 1999 23:59:59 GMT"] {
-        assert!(matches!(rest(503, says), RestAsked::Unreadable(_)), "{says}");
-        assert_eq!(rest(503, says).time(), None);
+        assert!(matches!(rest(503, says), RequestedRest::Unreadable(_)), "{says}");
+        assert_eq!(rest(503, says).duration_ms(), None);
     }
 }
 
@@ -69,6 +69,6 @@
         headers.insert(header::RETRY_AFTER, value.clone());
         headers.insert(LEAVING, value);
         let notice = Notice::read(StatusCode::SERVICE_UNAVAILABLE, &headers, &LEAVING);
-        prop_assert!(notice.rest.time().is_none_or(|time| time <= MAX_REST_MS));
+        prop_assert!(notice.rest.duration_ms().is_none_or(|time| time <= MAX_REST_MS));
     }
 }
--- a/src/notice/tests/unattributed.rs
+++ b/src/notice/tests/unattributed.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use crate::notice::{Notice, RestAsked, StartAt, UnattributedNotices};
+use crate::notice::{Notice, RequestedRest, StartAt, UnattributedNotices};
 
 fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
@@ -19,7 +19,7 @@
 }
 
 fn rests(time: u64) -> Notice {
-    Notice { rest: RestAsked::For(time), ..Notice::default() }
+    Notice { rest: RequestedRest::For(time), ..Notice::default() }
 }
 
 #[test]
--- a/src/notice/unattributed.rs
+++ b/src/notice/unattributed.rs
@@ -71,7 +71,7 @@
             address: start.address,
             known_start_ms: start.started_at_ms,
             leaves: notice.leaves,
-            rests_until: notice.rest.time().map_or(0, |time| rest_end(now, time)),
+            rests_until: notice.rest.duration_ms().map_or(0, |time| rest_end(now, time)),
             heard_at: now,
         };
         merge(self.by_endpoint.entry(start.id.to_string()).or_default(), said);
--- a/src/router/notices.rs
+++ b/src/router/notices.rs
@@ -15,7 +15,7 @@
 use crate::clock::BootInstant;
 use crate::config::{EndpointId, ServiceId};
 use crate::dispatch::Millis;
-use crate::notice::{Notice, Rest, RestAsked};
+use crate::notice::{Notice, RequestedRest, Rest};
 
 /// How often it is looked whether an endpoint that leaves has ended, or is back: more often
 /// than a process can end and be started again.
@@ -93,13 +93,13 @@
             tokio::spawn(watch_return(self.clone(), service, endpoint));
         }
         match &notice.rest {
-            RestAsked::None => {}
-            RestAsked::For(time) => {
+            RequestedRest::None => {}
+            RequestedRest::For(time) => {
                 log::info!("router: endpoint {name} asks for {time} ms of rest");
                 self.heard.rests(self.peers.clock.now(), endpoint, *time);
                 self.link(service).rest(endpoint, *time);
             }
-            RestAsked::Unreadable(says) => {
+            RequestedRest::Unreadable(says) => {
                 log::info!("router: endpoint {name} asks for no time: {says:?}");
             }
         }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -258,7 +258,7 @@
             once::settle(&self.router, claim, &attempt).await;
         }
         if matches!(attempt, Attempt::Refused)
-            && let Some(rest) = notice.rest.time()
+            && let Some(rest) = notice.rest.duration_ms()
         {
             // It gets the rest that it asked for, and is not taken to have failed besides.
             ticket.finish(0, Ending::Unused);
--- a/tests/starts/ways.rs
+++ b/tests/starts/ways.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use bramblecrank::notice::{Notice, RestAsked, StartAt, UnattributedNotices};
+use bramblecrank::notice::{Notice, RequestedRest, StartAt, UnattributedNotices};
 
 use crate::day::{ENDPOINT, Known, Said};
 
@@ -100,7 +100,7 @@
     pub fn answered(&mut self, now: u64, sent_to: Known, known: Known, said: Said) {
         let notice = Notice {
             leaves: said.leaves,
-            rest: said.rests_ms.map_or(RestAsked::None, RestAsked::For),
+            rest: said.rests_ms.map_or(RequestedRest::None, RequestedRest::For),
         };
         self.unattributed.heard(now, start_at(sent_to), &notice);
         if self.way == Way::Trial && self.tried == Some(sent_to.number) {
