--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -66,7 +66,7 @@
         Ok(httparse::Status::Partial) => None,
         Ok(httparse::Status::Complete(_)) => Some(answer.headers.iter().any(|header| {
             header.name.eq_ignore_ascii_case(leaving.as_str())
-                && header.value.trim_ascii() == crate::notice::LEAVES
+                && header.value.trim_ascii() == crate::notice::LEAVING_VALUE
         })),
         // What is no head says nothing.
         Err(_) => Some(false),
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -19,7 +19,7 @@
 /// and would stay without work until somebody notices.
 pub const MAX_REST_MS: Millis = 3_600_000;
 /// What the header of an endpoint that leaves says.
-pub(crate) const LEAVES: &[u8] = b"1";
+pub(crate) const LEAVING_VALUE: &[u8] = b"1";
 
 /// What an endpoint says of itself in the head of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// Reads the head of an endpoint's own answer; `leaving` names the header by which it
     /// says that it leaves.
     pub fn read(status: StatusCode, headers: &HeaderMap, leaving: &HeaderName) -> Notice {
-        let says_so = |value: &HeaderValue| value.as_bytes().trim_ascii() == LEAVES;
+        let says_so = |value: &HeaderValue| value.as_bytes().trim_ascii() == LEAVING_VALUE;
         Notice {
             leaves: headers.get_all(leaving).iter().any(says_so),
             rest: RequestedRest::read(status, headers),
