--- a/src/dispatch/capacity.rs
+++ b/src/dispatch/capacity.rs
@@ -77,7 +77,8 @@
         if !self.takes_work() || !reach.contains(self.hall) {
             return false;
         }
-        if self.rests.get(&router).is_some_and(|r| r.left(now).is_some() || r.is_tried(now)) {
+        if self.rests.get(&router).is_some_and(|r| r.remaining(now).is_some() || r.is_probing(now))
+        {
             return false;
         }
         if self.failures.get(&router).is_some_and(|f| f.until > now) {
@@ -195,8 +196,8 @@
     pub fn all_rest_for(&self, now: Millis, router: HostId, reach: HallSet) -> Option<Millis> {
         let in_reach = |e: &&State| e.takes_work() && reach.contains(e.hall);
         let mut rests = self.endpoints.values().filter(in_reach).map(|e| e.rests.get(&router));
-        let first = rests.next()??.left(now)?;
-        rests.try_fold(first, |least, rest| Some(least.min(rest?.left(now)?)))
+        let first = rests.next()??.remaining(now)?;
+        rests.try_fold(first, |least, rest| Some(least.min(rest?.remaining(now)?)))
     }
 
     /// Whether any endpoint has room.
@@ -245,7 +246,7 @@
     /// An endpoint asked a router for so many milliseconds of rest.
     pub fn rest(&mut self, now: Millis, router: HostId, endpoint: EndpointId, time: Millis) {
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
-            state.rests.entry(router).or_default().ask(now, time);
+            state.rests.entry(router).or_default().extend(now, time);
         }
     }
 
@@ -263,7 +264,7 @@
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.outstanding += 1;
             if let Some(rest) = state.rests.get_mut(&router) {
-                rest.sent(now);
+                rest.record_sent(now);
             }
             state.prefixes.insert(prefix);
         }
@@ -274,7 +275,7 @@
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.outstanding = state.outstanding.saturating_sub(1);
             if let Some(rest) = state.rests.get_mut(&router) {
-                rest.ended();
+                rest.record_ended();
             }
         }
     }
@@ -306,7 +307,7 @@
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.failures.remove(&router);
             if let Some(rest) = state.rests.get_mut(&router) {
-                rest.served(now);
+                rest.record_served(now);
             }
         }
     }
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -136,12 +136,12 @@
 
     /// Whether an endpoint is not avoided after failures, nor tried after a rest.
     pub fn is_calm(&self, now: Millis, endpoint: &Registration) -> bool {
-        self.of(endpoint).is_none_or(|seen| seen.avoid_until <= now && !seen.rest.is_tried(now))
+        self.of(endpoint).is_none_or(|seen| seen.avoid_until <= now && !seen.rest.is_probing(now))
     }
 
     /// Milliseconds for which an endpoint gets nothing because it asked for rest.
     pub fn rest_left(&self, now: Millis, endpoint: &Registration) -> Option<Millis> {
-        self.of(endpoint)?.rest.left(now)
+        self.of(endpoint)?.rest.remaining(now)
     }
 
     /// Whether this start of an endpoint may have said that it leaves, rests or ends, and has
@@ -232,7 +232,7 @@
             seen.sent.pop_front();
         }
         seen.sent.push_back(now);
-        seen.rest.sent(now);
+        seen.rest.record_sent(now);
         seen.in_flight += 1;
         seen.prompt_tokens += u64::from(prompt_tokens);
     }
@@ -250,7 +250,7 @@
         if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
         {
             seen.in_flight = seen.in_flight.saturating_sub(1);
-            seen.rest.ended();
+            seen.rest.record_ended();
         }
     }
 
@@ -260,14 +260,14 @@
         {
             seen.failures = 0;
             seen.avoid_until = 0;
-            seen.rest.served(now);
+            seen.rest.record_served(now);
         }
     }
 
     /// It turned a request away and asked for so many milliseconds of rest.
     pub fn asked_for_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
         if let Some(seen) = self.seen_of(id, started_at_ms) {
-            seen.rest.ask(now, time);
+            seen.rest.extend(now, time);
         }
     }
 
--- a/src/notice/rest.rs
+++ b/src/notice/rest.rs
@@ -21,47 +21,47 @@
     /// When it is over; none where none was asked, or the endpoint has served since.
     until: Option<Millis>,
     /// Whether a request that was sent after it is under way.
-    is_tried: bool,
+    is_probing: bool,
 }
 
 impl Rest {
     /// It asked for so much time from now on. What it asked before holds on.
-    pub fn ask(&mut self, now: Millis, time: Millis) {
+    pub fn extend(&mut self, now: Millis, time: Millis) {
         let until = rest_end(now, time);
         self.until = Some(self.until.map_or(until, |before| before.max(until)));
-        self.is_tried = false;
+        self.is_probing = false;
     }
 
     /// Milliseconds that are left of it; none where it is over.
-    pub fn left(&self, now: Millis) -> Option<Millis> {
+    pub fn remaining(&self, now: Millis) -> Option<Millis> {
         self.until?.checked_sub(now).filter(|left| *left > 0)
     }
 
     /// Whether it is over, and it is not known yet how the first request went that was
     /// sent since.
-    pub fn is_tried(&self, now: Millis) -> bool {
-        self.is_tried && self.left(now).is_none()
+    pub fn is_probing(&self, now: Millis) -> bool {
+        self.is_probing && self.remaining(now).is_none()
     }
 
     /// Whether nothing is left of it.
-    pub fn is_forgotten(&self) -> bool {
+    pub fn is_cleared(&self) -> bool {
         self.until.is_none()
     }
 
     /// A request is sent.
-    pub fn sent(&mut self, now: Millis) {
-        self.is_tried |= self.until.is_some() && self.left(now).is_none();
+    pub fn record_sent(&mut self, now: Millis) {
+        self.is_probing |= self.until.is_some() && self.remaining(now).is_none();
     }
 
     /// A request was served. During the rest that says nothing: it had begun before.
-    pub fn served(&mut self, now: Millis) {
-        if self.left(now).is_none() {
+    pub fn record_served(&mut self, now: Millis) {
+        if self.remaining(now).is_none() {
             *self = Rest::default();
         }
     }
 
     /// A request has ended, served or not.
-    pub fn ended(&mut self) {
-        self.is_tried = false;
+    pub fn record_ended(&mut self) {
+        self.is_probing = false;
     }
 }
--- a/src/notice/tests/rest.rs
+++ b/src/notice/tests/rest.rs
@@ -6,60 +6,60 @@
 
 fn asked(now: u64, time: u64) -> Rest {
     let mut rest = Rest::default();
-    rest.ask(now, time);
+    rest.extend(now, time);
     rest
 }
 
 #[test]
 fn it_lasts_as_long_as_was_asked() {
     let rest = asked(1_000, 3_000);
-    assert_eq!(rest.left(1_000), Some(3_001), "with the rest of the millisecond");
-    assert_eq!(rest.left(4_000), Some(1));
-    assert_eq!(rest.left(4_001), None);
+    assert_eq!(rest.remaining(1_000), Some(3_001), "with the rest of the millisecond");
+    assert_eq!(rest.remaining(4_000), Some(1));
+    assert_eq!(rest.remaining(4_001), None);
 }
 
 #[test]
 fn a_shorter_time_asked_later_does_not_end_it() {
     let mut rest = asked(0, 3_000);
-    rest.ask(100, 500);
-    assert_eq!(rest.left(100), Some(2_901));
-    rest.ask(2_000, 2_000);
-    assert_eq!(rest.left(3_000), Some(1_001));
+    rest.extend(100, 500);
+    assert_eq!(rest.remaining(100), Some(2_901));
+    rest.extend(2_000, 2_000);
+    assert_eq!(rest.remaining(3_000), Some(1_001));
 }
 
 #[test]
 fn what_is_served_meanwhile_does_not_end_it() {
     let mut rest = asked(0, 3_000);
-    rest.served(3_000);
-    assert_eq!(rest.left(3_000), Some(1));
-    rest.served(3_001);
-    assert!(rest.is_forgotten());
+    rest.record_served(3_000);
+    assert_eq!(rest.remaining(3_000), Some(1));
+    rest.record_served(3_001);
+    assert!(rest.is_cleared());
 }
 
 #[test]
 fn one_request_is_tried_after_it() {
     let mut rest = asked(0, 100);
-    rest.sent(50);
-    assert!(!rest.is_tried(101), "it was sent during the rest");
-    rest.sent(101);
-    assert!(rest.is_tried(101));
+    rest.record_sent(50);
+    assert!(!rest.is_probing(101), "it was sent during the rest");
+    rest.record_sent(101);
+    assert!(rest.is_probing(101));
     // It came to nothing: the next one is tried.
-    rest.ended();
-    assert!(!rest.is_tried(101) && !rest.is_forgotten());
-    rest.sent(200);
-    rest.served(250);
-    assert!(!rest.is_tried(250) && rest.is_forgotten());
+    rest.record_ended();
+    assert!(!rest.is_probing(101) && !rest.is_cleared());
+    rest.record_sent(200);
+    rest.record_served(250);
+    assert!(!rest.is_probing(250) && rest.is_cleared());
 }
 
 #[test]
 fn a_trial_that_is_turned_away_begins_another_rest() {
     let mut rest = asked(0, 100);
-    rest.sent(101);
-    rest.ask(110, 100);
-    rest.ended();
-    assert_eq!(rest.left(110), Some(101));
-    rest.sent(211);
-    assert!(rest.is_tried(211));
+    rest.record_sent(101);
+    rest.extend(110, 100);
+    rest.record_ended();
+    assert_eq!(rest.remaining(110), Some(101));
+    rest.record_sent(211);
+    assert!(rest.is_probing(211));
 }
 
 proptest! {
@@ -73,15 +73,15 @@
             now += later;
             match step {
                 0 => {
-                    rest.ask(now, time);
+                    rest.extend(now, time);
                     until = until.max(now + time + 1);
                 }
-                1 => rest.sent(now),
-                2 => rest.served(now),
-                3 => rest.ended(),
+                1 => rest.record_sent(now),
+                2 => rest.record_served(now),
+                3 => rest.record_ended(),
                 _ => {}
             }
-            prop_assert_eq!(rest.left(now).unwrap_or(0), until.saturating_sub(now));
+            prop_assert_eq!(rest.remaining(now).unwrap_or(0), until.saturating_sub(now));
         }
     }
 }
--- a/src/placement/rests.rs
+++ b/src/placement/rests.rs
@@ -19,12 +19,12 @@
 impl RouterRests {
     /// The engine asked a router for so many milliseconds from now on.
     pub fn ask(&mut self, now: Millis, router: HostId, time: Millis) {
-        self.by_router.entry(router).or_default().ask(now, time);
+        self.by_router.entry(router).or_default().extend(now, time);
     }
 
     /// Whether the engine may get nothing from a router.
     pub fn bars(&self, now: Millis, router: HostId) -> bool {
-        self.by_router.get(&router).is_some_and(|rest| rest.left(now).is_some())
+        self.by_router.get(&router).is_some_and(|rest| rest.remaining(now).is_some())
     }
 
     /// Whether requests of a router should rather go elsewhere.
@@ -32,22 +32,22 @@
         if self.by_router.is_empty() {
             return false;
         }
-        let resting = self.by_router.values().filter(|rest| rest.left(now).is_some()).count();
-        resting >= ENOUGH || self.by_router.get(&router).is_some_and(|rest| rest.is_tried(now))
+        let resting = self.by_router.values().filter(|rest| rest.remaining(now).is_some()).count();
+        resting >= ENOUGH || self.by_router.get(&router).is_some_and(|rest| rest.is_probing(now))
     }
 
     /// A router's request goes to the engine.
     pub fn sent(&mut self, now: Millis, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
-            rest.sent(now);
+            rest.record_sent(now);
         }
     }
 
     /// A router's request was served.
     pub fn served(&mut self, now: Millis, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
-            rest.served(now);
-            if rest.is_forgotten() {
+            rest.record_served(now);
+            if rest.is_cleared() {
                 self.by_router.remove(&router);
             }
         }
@@ -56,7 +56,7 @@
     /// A router's request has ended, served or not.
     pub fn ended(&mut self, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
-            rest.ended();
+            rest.record_ended();
         }
     }
 
--- a/src/router/notices.rs
+++ b/src/router/notices.rs
@@ -45,7 +45,7 @@
 
     /// Milliseconds that are left of an endpoint's rest.
     pub fn rest_left(&self, now: Millis, endpoint: EndpointId) -> Option<Millis> {
-        lock(&self.rests).get(&endpoint)?.left(now)
+        lock(&self.rests).get(&endpoint)?.remaining(now)
     }
 
     fn leaves(&self, endpoint: EndpointId) -> bool {
@@ -59,8 +59,8 @@
 
     fn rests(&self, now: Millis, endpoint: EndpointId, time: Millis) {
         let mut rests = lock(&self.rests);
-        rests.retain(|_, rest| rest.left(now).is_some());
-        rests.entry(endpoint).or_default().ask(now, time);
+        rests.retain(|_, rest| rest.remaining(now).is_some());
+        rests.entry(endpoint).or_default().extend(now, time);
     }
 }
 
