--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dispatch::Millis;
-use crate::notice::{Notice, Rest, StartAt, UnattributedNotices};
+use crate::notice::{Notice, Rest, StartAddress, UnattributedNotices};
 use crate::registry::Registration;
 use crate::wire::HostId;
 
@@ -151,7 +151,7 @@
         if answered < endpoint.revivals {
             return true;
         }
-        start_at(endpoint).is_some_and(|start| self.unattributed.may_be_of(now, start))
+        start_at(endpoint).is_some_and(|start| self.unattributed.may_apply_to(now, start))
     }
 
     /// An answer came on a connection that was opened while this start was the latest known.
@@ -162,7 +162,7 @@
             seen.revivals = seen.revivals.max(endpoint.revivals);
         }
         if let Some(start) = start_at(endpoint) {
-            self.unattributed.heard(now, start, notice);
+            self.unattributed.record(now, start, notice);
         }
     }
 
@@ -301,9 +301,9 @@
 }
 
 /// A start of an endpoint that can be reached.
-fn start_at(endpoint: &Registration) -> Option<StartAt<'_>> {
+fn start_at(endpoint: &Registration) -> Option<StartAddress<'_>> {
     let (id, started_at_ms) = (endpoint.id.as_str(), endpoint.started_at_ms);
-    endpoint.address.map(|address| StartAt { id, started_at_ms, address })
+    endpoint.address.map(|address| StartAddress { id, started_at_ms, address })
 }
 
 /// Rendezvous hashing: where requests of one kind go stays the same as endpoints
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -14,7 +14,7 @@
 use super::state::Gateway;
 use crate::error::{Result, RpcSnafu};
 use crate::feed::Neighbour;
-use crate::notice::{Notice, StartAt};
+use crate::notice::{Notice, StartAddress};
 use crate::registry::{EndpointStart, Hearing};
 use crate::wire::{Open, write_frame};
 
@@ -102,8 +102,8 @@
     let leaves = Notice { leaves: true, ..Notice::default() };
     for (start, address) in &told.heard {
         let (id, started_at_ms) = (start.id.as_str(), start.started_at_ms);
-        let start = StartAt { id, started_at_ms, address: *address };
-        gateway.with_endpoints(|seen| seen.unattributed().heard(now, start, &leaves));
+        let start = StartAddress { id, started_at_ms, address: *address };
+        gateway.with_endpoints(|seen| seen.unattributed().record(now, start, &leaves));
         gateway.check_if_uncertain(id);
     }
 }
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -13,7 +13,7 @@
 mod unattributed;
 
 pub use rest::Rest;
-pub use unattributed::{StartAt, UnattributedNotices};
+pub use unattributed::{StartAddress, UnattributedNotices};
 
 /// The longest rest that is believed, in milliseconds: an hour. Who says more is mistaken,
 /// and would stay without work until somebody notices.
--- a/src/notice/tests/unattributed.rs
+++ b/src/notice/tests/unattributed.rs
@@ -4,14 +4,14 @@
 
 use proptest::prelude::*;
 
-use crate::notice::{Notice, RequestedRest, StartAt, UnattributedNotices};
+use crate::notice::{Notice, RequestedRest, StartAddress, UnattributedNotices};
 
 fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
-fn start(started_at_ms: u64) -> StartAt<'static> {
-    StartAt { id: "e", started_at_ms, address: address(80) }
+fn start(started_at_ms: u64) -> StartAddress<'static> {
+    StartAddress { id: "e", started_at_ms, address: address(80) }
 }
 
 fn leaves() -> Notice {
@@ -25,45 +25,45 @@
 #[test]
 fn a_notice_may_be_of_any_later_start_at_the_address_until_one_answers() {
     let mut notices = UnattributedNotices::default();
-    notices.heard(0, start(10), &leaves());
-    assert!(!notices.may_be_of(0, start(10)), "it counts for that one anyway");
-    assert!(notices.may_be_of(0, start(11)) && notices.may_be_of(0, start(99)));
-    assert!(!notices.may_be_of(0, start(9)));
-    let elsewhere = StartAt { address: address(81), ..start(11) };
-    assert!(!notices.may_be_of(0, elsewhere));
-    assert!(!notices.may_be_of(0, StartAt { id: "f", ..start(11) }));
+    notices.record(0, start(10), &leaves());
+    assert!(!notices.may_apply_to(0, start(10)), "it counts for that one anyway");
+    assert!(notices.may_apply_to(0, start(11)) && notices.may_apply_to(0, start(99)));
+    assert!(!notices.may_apply_to(0, start(9)));
+    let elsewhere = StartAddress { address: address(81), ..start(11) };
+    assert!(!notices.may_apply_to(0, elsewhere));
+    assert!(!notices.may_apply_to(0, StartAddress { id: "f", ..start(11) }));
     // A start in between answers, which says nothing of the next.
-    notices.heard(1, start(20), &Notice::default());
-    assert!(!notices.may_be_of(1, start(99)));
+    notices.record(1, start(20), &Notice::default());
+    assert!(!notices.may_apply_to(1, start(99)));
 }
 
 #[test]
 fn a_start_that_says_the_same_itself_leaves_the_next_one_uncertain() {
     let mut notices = UnattributedNotices::default();
-    notices.heard(0, start(10), &leaves());
-    notices.heard(1, start(20), &leaves());
-    assert!(!notices.may_be_of(1, start(20)));
-    assert!(notices.may_be_of(1, start(30)));
+    notices.record(0, start(10), &leaves());
+    notices.record(1, start(20), &leaves());
+    assert!(!notices.may_apply_to(1, start(20)));
+    assert!(notices.may_apply_to(1, start(30)));
 }
 
 #[test]
 fn a_rest_ends_by_its_time() {
     let mut notices = UnattributedNotices::default();
-    notices.heard(100, start(10), &rests(50));
-    notices.heard(110, start(10), &rests(10));
-    assert!(notices.may_be_of(150, start(20)), "with the rest of the millisecond");
-    assert!(!notices.may_be_of(151, start(20)));
-    notices.heard(200, start(10), &leaves());
-    assert!(notices.may_be_of(9_999_999, start(20)));
+    notices.record(100, start(10), &rests(50));
+    notices.record(110, start(10), &rests(10));
+    assert!(notices.may_apply_to(150, start(20)), "with the rest of the millisecond");
+    assert!(!notices.may_apply_to(151, start(20)));
+    notices.record(200, start(10), &leaves());
+    assert!(notices.may_apply_to(9_999_999, start(20)));
 }
 
 /// A connection that was opened before may still be answered, by whichever start.
 #[test]
 fn a_late_answer_makes_the_later_start_uncertain_again() {
     let mut notices = UnattributedNotices::default();
-    notices.heard(0, start(20), &leaves());
-    notices.heard(1, start(10), &leaves());
-    assert!(notices.may_be_of(1, start(20)));
+    notices.record(0, start(20), &leaves());
+    notices.record(1, start(10), &leaves());
+    assert!(notices.may_apply_to(1, start(20)));
 }
 
 #[test]
@@ -71,17 +71,20 @@
     let mut notices = UnattributedNotices::default();
     for number in 0..5_000 {
         let id = format!("e{number}");
-        let at = StartAt { id: &id, ..start(10) };
-        notices.heard(number, at, &leaves());
+        let at = StartAddress { id: &id, ..start(10) };
+        notices.record(number, at, &leaves());
         for port in 1..9 {
-            notices.heard(number, StartAt { address: address(port), ..at }, &leaves());
+            notices.record(number, StartAddress { address: address(port), ..at }, &leaves());
         }
     }
     assert_eq!(notices.leaving(usize::MAX).count(), 4_096 * 4);
     assert_eq!(notices.leaving(7).count(), 7);
-    assert!(!notices.may_be_of(5_000, StartAt { id: "e0", ..start(20) }), "the oldest went");
-    let last = StartAt { id: "e4999", started_at_ms: 20, address: address(8) };
-    assert!(notices.may_be_of(5_000, last));
+    assert!(
+        !notices.may_apply_to(5_000, StartAddress { id: "e0", ..start(20) }),
+        "the oldest went"
+    );
+    let last = StartAddress { id: "e4999", started_at_ms: 20, address: address(8) };
+    assert!(notices.may_apply_to(5_000, last));
 }
 
 /// What happens to one endpoint that starts again and again.
@@ -126,20 +129,20 @@
                 }
                 Step::IsKnown => known = there,
                 Step::IsSent if barred.contains(&known) => {}
-                Step::IsSent if notices.may_be_of(now, start(known)) => {
+                Step::IsSent if notices.may_apply_to(now, start(known)) => {
                     // It is asked on a new connection first.
                     let says = if is_leaving { leaves() } else { Notice::default() };
-                    notices.heard(now, start(known), &says);
+                    notices.record(now, start(known), &says);
                     if is_leaving {
                         barred.insert(known);
                         told.insert(there);
                     }
-                    prop_assert!(!notices.may_be_of(now, start(known)));
+                    prop_assert!(!notices.may_apply_to(now, start(known)));
                 }
                 Step::IsSent => {
                     prop_assert!(!told.contains(&there), "{there} had said that it leaves");
                     let says = if is_leaving { leaves() } else { Notice::default() };
-                    notices.heard(now, start(known), &says);
+                    notices.record(now, start(known), &says);
                     if is_leaving {
                         barred.insert(known);
                         told.insert(there);
--- a/src/notice/unattributed.rs
+++ b/src/notice/unattributed.rs
@@ -13,7 +13,7 @@
 
 /// One start of an endpoint, and where it listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StartAt<'a> {
+pub struct StartAddress<'a> {
     /// The endpoint's id.
     pub id: &'a str,
     /// When it started, in milliseconds since the epoch by the endpoint's own clock.
@@ -38,7 +38,7 @@
         self.leaves || self.rests_until > now
     }
 
-    fn may_be_of(&self, start: StartAt<'_>) -> bool {
+    fn may_apply_to(&self, start: StartAddress<'_>) -> bool {
         self.address == start.address && self.known_start_ms < start.started_at_ms
     }
 }
@@ -59,7 +59,7 @@
 
 impl UnattributedNotices {
     /// An answer came on a connection to `start`, opened while that was the latest one known.
-    pub fn heard(&mut self, now: Millis, start: StartAt<'_>, notice: &Notice) {
+    pub fn record(&mut self, now: Millis, start: StartAddress<'_>, notice: &Notice) {
         self.forget_before(start);
         if !notice.refuses_work() {
             return;
@@ -78,16 +78,16 @@
     }
 
     /// Whether a notice may be of this start, which has not answered since it became known.
-    pub fn may_be_of(&self, now: Millis, start: StartAt<'_>) -> bool {
+    pub fn may_apply_to(&self, now: Millis, start: StartAddress<'_>) -> bool {
         let said = self.by_endpoint.get(start.id).into_iter().flatten();
-        said.into_iter().any(|said| said.holds(now) && said.may_be_of(start))
+        said.into_iter().any(|said| said.holds(now) && said.may_apply_to(start))
     }
 
     /// Starts that were known when an answer said that the endpoint leaves, `most` of them.
-    pub fn leaving(&self, most: usize) -> impl Iterator<Item = StartAt<'_>> {
+    pub fn leaving(&self, most: usize) -> impl Iterator<Item = StartAddress<'_>> {
         let said = self.by_endpoint.iter().flat_map(|(id, all)| all.iter().map(move |s| (id, s)));
         let leaving = said.filter(|(_, said)| said.leaves).take(most);
-        leaving.map(|(id, said)| StartAt {
+        leaving.map(|(id, said)| StartAddress {
             id,
             started_at_ms: said.known_start_ms,
             address: said.address,
@@ -95,9 +95,9 @@
     }
 
     /// An answer of `start` or a later one came: what was said before it was known is settled.
-    fn forget_before(&mut self, start: StartAt<'_>) {
+    fn forget_before(&mut self, start: StartAddress<'_>) {
         let Some(said) = self.by_endpoint.get_mut(start.id) else { return };
-        said.retain(|said| !said.may_be_of(start));
+        said.retain(|said| !said.may_apply_to(start));
         if said.is_empty() {
             self.by_endpoint.remove(start.id);
         }
--- a/src/registry/start.rs
+++ b/src/registry/start.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Registration;
-use crate::notice::StartAt;
+use crate::notice::StartAddress;
 
 /// One start of an endpoint: it may start again under the same id, and then knows nothing
 /// of before.
@@ -22,8 +22,8 @@
     }
 }
 
-impl From<StartAt<'_>> for EndpointStart {
-    fn from(start: StartAt<'_>) -> EndpointStart {
+impl From<StartAddress<'_>> for EndpointStart {
+    fn from(start: StartAddress<'_>) -> EndpointStart {
         EndpointStart { id: start.id.to_string(), started_at_ms: start.started_at_ms }
     }
 }
--- a/tests/starts/ways.rs
+++ b/tests/starts/ways.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use bramblecrank::notice::{Notice, RequestedRest, StartAt, UnattributedNotices};
+use bramblecrank::notice::{Notice, RequestedRest, StartAddress, UnattributedNotices};
 
 use crate::day::{ENDPOINT, Known, Said};
 
@@ -58,9 +58,9 @@
     tried: Option<u64>,
 }
 
-fn start_at(known: Known) -> StartAt<'static> {
+fn start_at(known: Known) -> StartAddress<'static> {
     let address: SocketAddr = ([127, 0, 0, 1], 80).into();
-    StartAt { id: ENDPOINT, started_at_ms: known.born_ms, address }
+    StartAddress { id: ENDPOINT, started_at_ms: known.born_ms, address }
 }
 
 impl Router {
@@ -85,7 +85,7 @@
                 if had_begun && !is_over { May::Wait } else { May::Send }
             }
             Way::Trial if is_doubtful && self.tried == Some(known.number) => May::Wait,
-            Way::Ask if self.unattributed.may_be_of(now, start_at(known)) => May::AskFirst,
+            Way::Ask if self.unattributed.may_apply_to(now, start_at(known)) => May::AskFirst,
             _ => May::Send,
         }
     }
@@ -102,7 +102,7 @@
             leaves: said.leaves,
             rest: said.rests_ms.map_or(RequestedRest::None, RequestedRest::For),
         };
-        self.unattributed.heard(now, start_at(sent_to), &notice);
+        self.unattributed.record(now, start_at(sent_to), &notice);
         if self.way == Way::Trial && self.tried == Some(sent_to.number) {
             self.tried = None;
             self.word = Word { start: sent_to.number, ..Word::default() };
