--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -15,7 +15,6 @@
 mod crash;
 mod crash_analysis;
 mod culprits;
-mod doubts;
 mod fingerprint;
 mod guard;
 mod known_starts;
@@ -25,6 +24,7 @@
 mod served;
 mod shared;
 mod starts;
+mod suspected_endpoints;
 #[cfg(test)]
 mod tests;
 
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -8,9 +8,9 @@
 use tokio::sync::Notify;
 
 use super::crash_analysis::CrashAnalysis;
-use super::doubts::Doubts;
 use super::model::{Quarantines, Stage};
 use super::report::CrashReport;
+use super::suspected_endpoints::Doubts;
 use super::{Fingerprint, Observation, ObservationLog, SharedQuarantine, StartEvent};
 use crate::clock::{Clock, epoch_ms};
 use crate::dispatch::Millis;
