--- a/src/notice/tests/unattributed.rs
+++ b/src/notice/tests/unattributed.rs
@@ -1,4 +1,4 @@
-//! Notices that a later start may have given.
+//! Notices that may have come from a later start.
 
 use std::net::SocketAddr;
 
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn a_notice_may_be_of_any_later_start_at_the_address_until_one_answers() {
+fn a_notice_may_apply_to_any_later_start_at_the_address_until_one_answers() {
     let mut notices = UnattributedNotices::default();
     notices.record(0, start(10), &leaves());
-    assert!(!notices.may_apply_to(0, start(10)), "it counts for that one anyway");
+    assert!(!notices.may_apply_to(0, start(10)), "the notice counts for the known start itself");
     assert!(notices.may_apply_to(0, start(11)) && notices.may_apply_to(0, start(99)));
     assert!(!notices.may_apply_to(0, start(9)));
     let elsewhere = StartAddress { address: address(81), ..start(11) };
     assert!(!notices.may_apply_to(0, elsewhere));
     assert!(!notices.may_apply_to(0, StartAddress { id: "f", ..start(11) }));
-    // A start in between answers, which says nothing of the next.
+    // A start in between answers without a notice, which discards the notice for later starts.
     notices.record(1, start(20), &Notice::default());
     assert!(!notices.may_apply_to(1, start(99)));
 }
 
 #[test]
-fn a_start_that_says_the_same_itself_leaves_the_next_one_uncertain() {
+fn a_start_that_repeats_the_notice_leaves_the_next_start_uncertain() {
     let mut notices = UnattributedNotices::default();
     notices.record(0, start(10), &leaves());
     notices.record(1, start(20), &leaves());
@@ -47,17 +47,17 @@
 }
 
 #[test]
-fn a_rest_ends_by_its_time() {
+fn a_notice_of_a_rest_expires_with_the_rest() {
     let mut notices = UnattributedNotices::default();
     notices.record(100, start(10), &rests(50));
     notices.record(110, start(10), &rests(10));
-    assert!(notices.may_apply_to(150, start(20)), "with the rest of the millisecond");
+    assert!(notices.may_apply_to(150, start(20)), "with the remainder of the millisecond");
     assert!(!notices.may_apply_to(151, start(20)));
     notices.record(200, start(10), &leaves());
     assert!(notices.may_apply_to(9_999_999, start(20)));
 }
 
-/// A connection that was opened before may still be answered, by whichever start.
+/// A request on a connection that was opened earlier may still be answered, by any start since.
 #[test]
 fn a_late_answer_makes_the_later_start_uncertain_again() {
     let mut notices = UnattributedNotices::default();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn the_number_of_notices_is_bounded() {
     let mut notices = UnattributedNotices::default();
     for number in 0..5_000 {
         let id = format!("e{number}");
@@ -81,71 +81,71 @@
     assert_eq!(notices.leaving(7).count(), 7);
     assert!(
         !notices.may_apply_to(5_000, StartAddress { id: "e0", ..start(20) }),
-        "the oldest went"
+        "the oldest was evicted"
     );
     let last = StartAddress { id: "e4999", started_at_ms: 20, address: address(8) };
     assert!(notices.may_apply_to(5_000, last));
 }
 
-/// What happens to one endpoint that starts again and again.
+/// An event of one endpoint that restarts repeatedly.
 #[derive(Clone, Debug)]
 enum Step {
-    /// It starts again, with these words for whoever asks it.
-    Starts { leaves: bool },
-    /// The router hears of the start that is there.
-    IsKnown,
-    /// The router sends a request, if it may.
-    IsSent,
+    /// The endpoint restarts, and from then on answers with or without a leaving notice.
+    Restart { leaves: bool },
+    /// The router learns of the current start.
+    BecomeKnown,
+    /// The router sends a request, if allowed.
+    Send,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        any::<bool>().prop_map(|leaves| Step::Starts { leaves }),
-        Just(Step::IsKnown),
-        Just(Step::IsSent),
-        Just(Step::IsSent),
+        any::<bool>().prop_map(|leaves| Step::Restart { leaves }),
+        Just(Step::BecomeKnown),
+        Just(Step::Send),
+        Just(Step::Send),
     ]
 }
 
 proptest! {
     #![proptest_config(crate::testing::property(256))]
 
-    /// Whatever is heard when, a start whose word the router has passed on gets nothing more,
-    /// and one that takes work gets some once it is known and was asked.
+    /// In any order of events, a start that has reported that it is leaving gets no more requests,
+    /// and a start that accepts requests gets them once it is known and has been checked.
     #[test]
-    fn a_start_is_held_to_its_own_word(steps in proptest::collection::vec(step(), 1..60)) {
+    fn a_start_is_bound_by_its_own_notices_only(steps in proptest::collection::vec(step(), 1..60)) {
         let mut notices = UnattributedNotices::default();
-        let (mut now, mut there, mut known) = (0, 1, 1);
+        let (mut now, mut current, mut known) = (0, 1, 1);
         let mut is_leaving = false;
-        // Starts of which the router goes by their own word.
-        let mut barred = std::collections::BTreeSet::new();
-        let mut told = std::collections::BTreeSet::new();
+        // Known starts that the router leaves out because of a leaving notice.
+        let mut excluded = std::collections::BTreeSet::new();
+        let mut reported_leaving = std::collections::BTreeSet::new();
         for step in steps {
             now += 1;
             match step {
-                Step::Starts { leaves } => {
-                    there += 1;
+                Step::Restart { leaves } => {
+                    current += 1;
                     is_leaving = leaves;
                 }
-                Step::IsKnown => known = there,
-                Step::IsSent if barred.contains(&known) => {}
-                Step::IsSent if notices.may_apply_to(now, start(known)) => {
-                    // It is asked on a new connection first.
-                    let says = if is_leaving { leaves() } else { Notice::default() };
-                    notices.record(now, start(known), &says);
+                Step::BecomeKnown => known = current,
+                Step::Send if excluded.contains(&known) => {}
+                Step::Send if notices.may_apply_to(now, start(known)) => {
+                    // The start is checked on a new connection first.
+                    let notice = if is_leaving { leaves() } else { Notice::default() };
+                    notices.record(now, start(known), &notice);
                     if is_leaving {
-                        barred.insert(known);
-                        told.insert(there);
+                        excluded.insert(known);
+                        reported_leaving.insert(current);
                     }
                     prop_assert!(!notices.may_apply_to(now, start(known)));
                 }
-                Step::IsSent => {
-                    prop_assert!(!told.contains(&there), "{there} had said that it leaves");
-                    let says = if is_leaving { leaves() } else { Notice::default() };
-                    notices.record(now, start(known), &says);
+                Step::Send => {
+                    prop_assert!(!reported_leaving.contains(&current), "{current} had reported leaving");
+                    let notice = if is_leaving { leaves() } else { Notice::default() };
+                    notices.record(now, start(known), &notice);
                     if is_leaving {
-                        barred.insert(known);
-                        told.insert(there);
+                        excluded.insert(known);
+                        reported_leaving.insert(current);
                     }
                 }
             }
