--- a/src/quarantine/crash.rs
+++ b/src/quarantine/crash.rs
@@ -1,4 +1,4 @@
-//! One crash of an endpoint, as far as it is known.
+//! One crash of an endpoint, as reported by routers.
 
 use std::collections::BTreeMap;
 
@@ -7,57 +7,57 @@
 use crate::registry::EndpointStart;
 use crate::wire::HostId;
 
-/// Milliseconds within which losses at one start of an endpoint are of one crash: routers
-/// notice it within that time, and no endpoint is back so soon.
-const ONE_CRASH_MS: Millis = 1_000;
-/// Milliseconds for which what one router alone lost is not taken for a crash: if the
-/// endpoint lives, most routers find out in that time, and where much is lost at once
-/// several routers lose it.
-const UNCONFIRMED_MS: Millis = 500;
-/// Requests that are kept of one crash: more than the largest endpoint runs at once.
-const MOST_LOST: usize = 256;
-
-/// An endpoint that broke off answers.
+/// Milliseconds within which losses at one start of an endpoint belong to one crash: routers
+/// detect a crash within that time, and no endpoint restarts sooner.
+const CRASH_WINDOW_MS: Millis = 1_000;
+/// Milliseconds for which losses that only one router reported do not count as a crash: if the
+/// endpoint is alive, most routers detect that within this time, and if many requests are lost at
+/// once, several routers report losses.
+const CONFIRMATION_MS: Millis = 500;
+/// Lost requests that are kept per crash: more than the largest endpoint runs at once.
+const MAX_LOST: usize = 256;
+
+/// The crash of an endpoint that ended answers early.
 #[derive(Clone, Debug)]
 pub(super) struct Crash {
     pub endpoint: EndpointStart,
     /// When the first answer was lost.
     pub at: Millis,
-    /// When the last one was.
-    pub last: Millis,
-    /// What was lost, and the shortest time in milliseconds for which it had been there.
+    /// When the last answer was lost.
+    pub last_lost_at: Millis,
+    /// The lost requests, each with the shortest time in milliseconds for which it had run.
     pub lost: BTreeMap<Fingerprint, u32>,
-    /// The router that reported it first.
+    /// The router that reported the crash first.
     router: HostId,
-    is_seen_by_others: bool,
+    has_other_reporters: bool,
 }
 
 impl Crash {
     pub fn new(endpoint: EndpointStart, at: Millis, router: HostId) -> Crash {
         let lost = BTreeMap::new();
-        Crash { endpoint, at, last: at, lost, router, is_seen_by_others: false }
+        Crash { endpoint, at, last_lost_at: at, lost, router, has_other_reporters: false }
     }
 
-    /// Whether what was lost at an endpoint at this time was lost in this crash.
-    pub fn is_of(&self, endpoint: &EndpointStart, at: Millis) -> bool {
-        self.endpoint == *endpoint && self.at.abs_diff(at) < ONE_CRASH_MS
+    /// Whether a loss at this endpoint and time belongs to this crash.
+    pub fn includes(&self, endpoint: &EndpointStart, at: Millis) -> bool {
+        self.endpoint == *endpoint && self.at.abs_diff(at) < CRASH_WINDOW_MS
     }
 
-    /// A router lost something in it.
-    pub fn seen(&mut self, at: Millis, router: HostId) {
-        self.is_seen_by_others |= self.router != router;
-        self.last = self.last.max(at);
+    /// Records that a router lost an answer in this crash.
+    pub fn record_report(&mut self, at: Millis, router: HostId) {
+        self.has_other_reporters |= self.router != router;
+        self.last_lost_at = self.last_lost_at.max(at);
     }
 
-    pub fn lose(&mut self, fingerprint: Fingerprint, ran_ms: u32) {
-        if let Some(known) = self.lost.get_mut(&fingerprint) {
-            *known = ran_ms.min(*known);
-        } else if self.lost.len() < MOST_LOST {
+    pub fn add_lost(&mut self, fingerprint: Fingerprint, ran_ms: u32) {
+        if let Some(shortest_ms) = self.lost.get_mut(&fingerprint) {
+            *shortest_ms = ran_ms.min(*shortest_ms);
+        } else if self.lost.len() < MAX_LOST {
             self.lost.insert(fingerprint, ran_ms);
         }
     }
 
     pub fn is_confirmed(&self, now: Millis) -> bool {
-        self.is_seen_by_others || self.at + UNCONFIRMED_MS <= now
+        self.has_other_reporters || self.at + CONFIRMATION_MS <= now
     }
 }
--- a/src/quarantine/crash_analysis.rs
+++ b/src/quarantine/crash_analysis.rs
@@ -1,4 +1,4 @@
-//! The crashes of the last minutes, from what all routers report.
+//! Analysis of recent crashes from the observations of all routers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,170 +12,171 @@
 use crate::registry::EndpointStart;
 use crate::wire::HostId;
 
-/// Milliseconds for which crashes count: as long as a request that was blamed is refused, it
-/// is looked at again whether another one explains them better.
+/// Milliseconds for which crashes count: as long as a blamed request is refused for the first
+/// time. Until then each review checks whether another request explains the crashes better.
 const KEPT_MS: Millis = 10 * 60_000;
-/// Crashes that are kept: some minutes of an outage, 4 MB at the most.
-const MOST_CRASHES: usize = 256;
-/// Milliseconds for which a request that was served whole is not blamed: where many run the
-/// same request, as for an empty body, a data hall's outage takes many of them at once.
+/// Crashes that are kept: those of some minutes of an outage, 4 MB at most.
+const MAX_CRASHES: usize = 256;
+/// Milliseconds for which a request is not blamed after it was served completely: if many
+/// callers send the same request, such as one with an empty body, the outage of a data hall loses
+/// many of them at once.
 const SERVED_MS: Millis = 10_000;
-/// Requests of which it is kept until when they are not blamed, and endpoints of which when
-/// they were there.
-const MOST_TIMES: usize = 1_024;
+/// Entries of the map of requests that are exempt from blame, and of the map of endpoints that
+/// were alive.
+const MAX_TIMES: usize = 1_024;
 
-/// What follows from looking at all crashes anew.
+/// The result of a review of all crashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Review {
-    /// Requests that are to blame, and not refused yet.
+    /// Requests that are blamed, and not refused yet.
     pub blamed: Vec<Blame>,
-    /// Requests that were blamed here and are not any more: they were served, the endpoints
-    /// live, or another request explains the crashes better.
+    /// Requests that were blamed here and no longer are: they were served, the endpoints are
+    /// alive, or another request explains the crashes better.
     pub cleared: Vec<Fingerprint>,
 }
 
-/// The crashes of the last minutes, and whom they are blamed on.
+/// The crashes of the last minutes, and the requests blamed for them.
 #[derive(Clone, Debug, Default)]
 pub struct CrashAnalysis {
     crashes: VecDeque<Crash>,
     starts: Starts,
+    /// When starts of endpoints were last known to be alive.
     alive: BTreeMap<EndpointStart, Millis>,
-    /// Until when requests are not blamed.
-    innocent_until: BTreeMap<Fingerprint, Millis>,
-    just_served: BTreeSet<Fingerprint>,
-    /// Requests that were blamed here, for crashes that are all still known: whether they
-    /// are to blame can be seen anew.
+    /// Until when requests are exempt from blame.
+    exempt_until: BTreeMap<Fingerprint, Millis>,
+    newly_served: BTreeSet<Fingerprint>,
+    /// Requests that were blamed here, for crashes that are all still kept, so that a review can
+    /// clear them.
     blamed: BTreeSet<Fingerprint>,
-    has_news: bool,
+    has_changes: bool,
     reviewed_at: Millis,
 }
 
 impl CrashAnalysis {
-    /// Takes in what a router saw.
+    /// Records an observation that a router reported.
     pub fn record(&mut self, now: Millis, router: HostId, observation: Observation) {
         let at = now.saturating_sub(observation.ago_ms.into());
-        self.has_news = true;
+        self.has_changes = true;
         match observation.event {
             ObservedEvent::Lost { endpoint, fingerprint, ran_ms } => {
-                if !self.was_alive(at, &endpoint) && !self.is_innocent(at, &fingerprint) {
-                    self.crash(at, router, endpoint).lose(fingerprint, ran_ms);
+                if !self.was_alive(at, &endpoint) && !self.is_exempt(at, &fingerprint) {
+                    self.crash_at(at, router, endpoint).add_lost(fingerprint, ran_ms);
                 }
             }
-            ObservedEvent::Alive(endpoint) => self.alive(now, at, endpoint),
-            ObservedEvent::Served(fingerprint) => self.served(at, fingerprint),
+            ObservedEvent::Alive(endpoint) => self.record_alive(now, at, endpoint),
+            ObservedEvent::Served(fingerprint) => self.record_served(at, fingerprint),
         }
-        self.forget_old(now);
+        self.drop_expired(now);
     }
 
     fn was_alive(&self, at: Millis, endpoint: &EndpointStart) -> bool {
         self.alive.get(endpoint).is_some_and(|alive| at <= *alive)
     }
 
-    /// An endpoint was there at this time: what was lost before was not lost by its end.
-    /// Unless that was a later start of it.
-    fn alive(&mut self, now: Millis, at: Millis, endpoint: EndpointStart) {
-        if self.starts.is_of_a_later_one(at, &endpoint) {
+    /// Records that an endpoint was alive at this time, which refutes crashes of it before. An
+    /// observation that belongs to a later start of the endpoint is ignored.
+    fn record_alive(&mut self, now: Millis, at: Millis, endpoint: EndpointStart) {
+        if self.starts.is_from_later_start(at, &endpoint) {
             return;
         }
-        let is_refuted = |crash: &Crash| crash.endpoint == endpoint && crash.last <= at;
+        let is_refuted = |crash: &Crash| crash.endpoint == endpoint && crash.last_lost_at <= at;
         for crash in self.crashes.iter().filter(|crash| is_refuted(crash)) {
-            self.starts.refuted(now, crash.clone(), at);
+            self.starts.record_refuted(now, crash.clone(), at);
         }
         self.crashes.retain(|crash| !is_refuted(crash));
-        note_latest(&mut self.alive, endpoint, at);
+        record_latest(&mut self.alive, endpoint, at);
     }
 
-    /// A start of an endpoint became known: a sign of life of an earlier one that came a
-    /// moment before was this one's, and the earlier one did crash.
-    fn started(&mut self, now: Millis, start: &EndpointStart) {
-        let confirmed = self.starts.started(now, start);
+    /// Records that a start of an endpoint became known. If an earlier start seemed alive shortly
+    /// before, that was this start, so crashes of the earlier one count again.
+    fn record_start(&mut self, now: Millis, start: &EndpointStart) {
+        let confirmed = self.starts.record_start(now, start);
         for crash in confirmed {
-            self.has_news = true;
+            self.has_changes = true;
             self.alive.remove(&crash.endpoint);
-            let before = self.crashes.iter().take_while(|known| known.at <= crash.at).count();
-            self.crashes.insert(before, crash);
+            let position = self.crashes.iter().take_while(|known| known.at <= crash.at).count();
+            self.crashes.insert(position, crash);
         }
     }
 
-    /// Takes in what became known of starts.
-    pub fn record_starts(&mut self, now: Millis, news: Vec<StartEvent>) {
-        for step in news {
-            match step {
-                StartEvent::Started(start) => self.started(now, &start),
+    /// Records which starts of endpoints became known.
+    pub fn record_starts(&mut self, now: Millis, events: Vec<StartEvent>) {
+        for event in events {
+            match event {
+                StartEvent::Started(start) => self.record_start(now, &start),
                 StartEvent::Gone(endpoint) => self.starts.forget(&endpoint),
             }
         }
     }
 
-    fn is_innocent(&self, at: Millis, fingerprint: &Fingerprint) -> bool {
-        self.innocent_until.get(fingerprint).is_some_and(|until| at < *until)
+    fn is_exempt(&self, at: Millis, fingerprint: &Fingerprint) -> bool {
+        self.exempt_until.get(fingerprint).is_some_and(|until| at < *until)
     }
 
-    /// The crash of an endpoint at about this time.
-    fn crash(&mut self, at: Millis, router: HostId, endpoint: EndpointStart) -> &mut Crash {
-        let is_this = |crash: &Crash| crash.is_of(&endpoint, at);
-        let index = self.crashes.iter().position(is_this).unwrap_or_else(|| {
+    /// The crash of an endpoint at about this time, which is added if there is none yet.
+    fn crash_at(&mut self, at: Millis, router: HostId, endpoint: EndpointStart) -> &mut Crash {
+        let is_same = |crash: &Crash| crash.includes(&endpoint, at);
+        let index = self.crashes.iter().position(is_same).unwrap_or_else(|| {
             self.crashes.push_back(Crash::new(endpoint, at, router));
             self.crashes.len() - 1
         });
         let crash = &mut self.crashes[index];
-        crash.seen(at, router);
+        crash.record_report(at, router);
         crash
     }
 
-    /// A request that was served crashes nothing.
-    fn served(&mut self, at: Millis, fingerprint: Fingerprint) {
+    /// Records that a request was served, which shows that it does not crash endpoints.
+    fn record_served(&mut self, at: Millis, fingerprint: Fingerprint) {
         for crash in self.crashes.iter_mut().filter(|crash| crash.at < at + SERVED_MS) {
             crash.lost.remove(&fingerprint);
         }
-        self.just_served.insert(fingerprint.clone());
-        note_latest(&mut self.innocent_until, fingerprint, at + SERVED_MS);
+        self.newly_served.insert(fingerprint.clone());
+        record_latest(&mut self.exempt_until, fingerprint, at + SERVED_MS);
     }
 
-    /// A request may run again, by its time or an operator's word: crashes before count no
-    /// more.
+    /// Discards the losses of a request that may run again because its time is over or an
+    /// operator released it: earlier crashes no longer count against it.
     pub fn discard_losses(&mut self, now: Millis, fingerprint: &Fingerprint) {
         for crash in &mut self.crashes {
             crash.lost.remove(fingerprint);
         }
         self.blamed.remove(fingerprint);
-        self.has_news = true;
-        note_latest(&mut self.innocent_until, fingerprint.clone(), now);
+        self.has_changes = true;
+        record_latest(&mut self.exempt_until, fingerprint.clone(), now);
     }
 
-    fn forget_old(&mut self, now: Millis) {
+    fn drop_expired(&mut self, now: Millis) {
         self.crashes.retain(|crash| !crash.lost.is_empty());
-        while self.crashes.len() > MOST_CRASHES
+        while self.crashes.len() > MAX_CRASHES
             || self.crashes.front().is_some_and(|crash| crash.at + KEPT_MS <= now)
         {
-            let Some(forgotten) = self.crashes.pop_front() else { return };
-            self.blamed.retain(|fingerprint| !forgotten.lost.contains_key(fingerprint));
+            let Some(dropped) = self.crashes.pop_front() else { return };
+            self.blamed.retain(|fingerprint| !dropped.lost.contains_key(fingerprint));
         }
     }
 
-    /// Requests that were blamed here and not cleared since.
+    /// Requests that were blamed here and have not been cleared since.
     pub fn blamed(&self) -> &BTreeSet<Fingerprint> {
         &self.blamed
     }
 
-    /// Whether a look at all crashes may say something new: something was taken in since the
-    /// last one, or what one router alone lost may count by now.
+    /// Whether a review may have a new result: something was recorded since the last one, or the
+    /// losses of a single router have begun to count.
     pub fn is_due(&self, now: Millis) -> bool {
         let is_unconfirmed = |crash: &Crash| !crash.is_confirmed(self.reviewed_at);
-        self.has_news || self.crashes.iter().any(|c| is_unconfirmed(c) && c.is_confirmed(now))
+        self.has_changes || self.crashes.iter().any(|c| is_unconfirmed(c) && c.is_confirmed(now))
     }
 
-    /// Looks at all crashes anew.
+    /// Reviews all crashes.
     pub fn review(
         &mut self,
         now: Millis,
         quarantine_state: impl Fn(&Fingerprint) -> QuarantineState,
     ) -> Review {
-        self.forget_old(now);
-        self.has_news = false;
+        self.drop_expired(now);
+        self.has_changes = false;
         self.reviewed_at = now;
-        // Those that were refused elsewhere, by crashes that are not known here, need no
-        // more proof.
+        // Requests that were refused for crashes that are not recorded here need no more proof.
         let is_settled = |f: &Fingerprint| {
             quarantine_state(f) == QuarantineState::Refused && !self.blamed.contains(f)
         };
@@ -189,20 +190,20 @@
         Review { blamed, cleared }
     }
 
-    /// Requests that were served since this was asked last.
+    /// Takes the requests that were served since the last call.
     pub fn take_served(&mut self) -> BTreeSet<Fingerprint> {
-        std::mem::take(&mut self.just_served)
+        std::mem::take(&mut self.newly_served)
     }
 }
 
-/// Notes the latest time for a key, and forgets the key whose time is longest ago where there
-/// are too many.
-fn note_latest<K: Ord + Clone>(times: &mut BTreeMap<K, Millis>, key: K, at: Millis) {
+/// Records the latest time for a key, and evicts the key with the earliest time if there are too
+/// many.
+fn record_latest<K: Ord + Clone>(times: &mut BTreeMap<K, Millis>, key: K, at: Millis) {
     let time = times.entry(key).or_default();
     *time = at.max(*time);
-    if times.len() > MOST_TIMES {
-        let longest_ago = times.iter().min_by_key(|(_, at)| **at);
-        if let Some(key) = longest_ago.map(|(key, _)| key.clone()) {
+    if times.len() > MAX_TIMES {
+        let earliest = times.iter().min_by_key(|(_, at)| **at);
+        if let Some(key) = earliest.map(|(key, _)| key.clone()) {
             times.remove(&key);
         }
     }
--- a/src/quarantine/culprits.rs
+++ b/src/quarantine/culprits.rs
@@ -1,7 +1,7 @@
-//! Which requests are to blame for crashes, from what was lost in each.
+//! Finds the requests that are to blame for crashes from the requests lost in each crash.
 //!
-//! Of all requests that were lost, those are blamed that explain most crashes, one after the
-//! other: a crash that one explains says nothing of the others that were lost in it.
+//! The search is greedy: it repeatedly blames the request that explains the most crashes. A
+//! crash that one request explains is no evidence against the others that were lost in it.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -10,110 +10,119 @@
 use super::crash::Crash;
 use crate::dispatch::Millis;
 
-/// Crashes after which a request is blamed. Each costs some dozen callers their answers and
-/// an endpoint for seconds; but two are often chance: of requests that are sent again, one in
-/// as many as there are endpoints meets the culprit a second time. On generated days with 9
-/// endpoints of which one a second dies of something else, two refuse 1,098 of 88,060 innocent
-/// arrivals, three 152, and what this module does none, for 4.8 endpoints ended by a culprit
-/// instead of 2.4 and 3.6 (`tests/generated_crashes.rs`).
-const ENOUGH: usize = 3;
-/// The same where endpoints go down all over: a request that is sent again and again is
-/// then lost three times by chance, and hardly five times.
-const ENOUGH_AMONG_MANY: usize = 5;
-/// Crashes that nothing explains count for chance: a request has to be in one of so many of
-/// them and its own.
-const ITS_PART: usize = 3;
-/// Crashes after which a request is blamed that was beside others in each of them: nobody
-/// sends a request so often that is lost each time, but for what crashes endpoints.
-const ALWAYS: usize = 2 * ENOUGH;
+/// Crashes after which a request is blamed. Each crash costs a dozen or so callers their answers
+/// and an endpoint for seconds, but two crashes are often chance: with n endpoints, one in n
+/// requests that are sent again meets the culprit a second time. On generated days with 9
+/// endpoints, of which one a second crashes for another reason, a plain limit of two crashes
+/// refuses 1,098 of 88,060 innocent arrivals, a limit of three refuses 152, and this module
+/// refuses none; in exchange a culprit ends 4.8 endpoints here, and 2.4 and 3.6 under the plain
+/// limits (`tests/generated_crashes.rs`).
+const MIN_CRASHES: usize = 3;
+/// Crashes after which a request is blamed however many endpoints crash for other reasons: in
+/// a large outage a request that is sent again and again is lost three times by chance, but
+/// hardly five times.
+const MIN_CRASHES_IN_OUTAGE: usize = 5;
+/// A request is blamed only if it explains at least one in this many of the crashes of its
+/// period: its own, and those that nothing explains and that count as chance.
+const MIN_PART_DIVISOR: usize = 3;
+/// Crashes after which a request is blamed although other requests explain all of them: a
+/// request that crashes nothing is hardly sent so often and lost each time.
+const MIN_CRASHES_BESIDE_CULPRITS: usize = 2 * MIN_CRASHES;
 
-/// A request that is to blame.
+/// A request that is blamed for crashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Blame {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Crashes that it explains.
+    /// Number of crashes that it explains.
     pub crashes: usize,
-    /// The same, and crashes in the same time that nothing explains.
+    /// The same, plus the crashes in the same period that nothing explains.
     pub among: usize,
 }
 
-/// How closely a request is looked at.
+/// Quarantine state of a request, as far as the search for culprits depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineState {
-    /// As any other.
+    /// Not in quarantine.
     None,
-    /// It is refused already: crashes with it need no other explanation.
+    /// Refused already: crashes in which it was lost need no other explanation.
     Refused,
-    /// On trial since then: one crash is enough.
+    /// On trial since this time: one later crash is enough to blame it.
     Trial(Millis),
 }
 
-/// How often a request was lost in crashes that are not explained.
+/// Losses of one request over several crashes.
 #[derive(Clone, Copy, Debug)]
-struct Record {
+struct Losses {
     crashes: usize,
-    /// Milliseconds that it had been there, in all crashes together.
+    /// Milliseconds that it had been running when it was lost, summed over all crashes.
     ran_ms: u64,
     first: Millis,
     last: Millis,
     since_trial: usize,
 }
 
-type Records<'a> = HashMap<&'a Fingerprint, Record>;
+type LossesByRequest<'a> = HashMap<&'a Fingerprint, Losses>;
 
-/// A crash, and those lost in it that may be to blame: most are lost only once.
+/// A crash and the requests lost in it that may be to blame.
 #[derive(Clone, Debug)]
-struct Case<'a> {
+struct SuspectedCrash<'a> {
     at: Millis,
     suspects: Vec<(&'a Fingerprint, u32)>,
 }
 
-impl Case<'_> {
-    fn is_with(&self, fingerprint: &Fingerprint) -> bool {
+impl SuspectedCrash<'_> {
+    fn has_suspect(&self, fingerprint: &Fingerprint) -> bool {
         self.suspects.iter().any(|(suspect, _)| *suspect == fingerprint)
     }
 }
 
-/// Of 256 crashes with 64 requests lost in each, looking at all of these takes 23 ms, and
-/// at those that are lost twice or suspect otherwise 2 ms (`cargo run --release --example
-/// slopes`).
-fn cases<'a>(
+/// Pairs each crash with its suspects: requests that were lost more than once, or are in
+/// quarantine. Most requests are lost only once. With 256 crashes and 64 lost requests each, the
+/// search takes 2 ms over the suspects and 23 ms over all lost requests (`cargo run --release
+/// --example slopes`).
+fn suspected_crashes<'a>(
     crashes: &[&'a Crash],
     quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
-) -> Vec<Case<'a>> {
+) -> Vec<SuspectedCrash<'a>> {
     let mut times: HashMap<u64, usize> = HashMap::new();
     for fingerprint in crashes.iter().flat_map(|crash| crash.lost.keys()) {
         *times.entry(fingerprint.hash()).or_default() += 1;
     }
     let is_suspect =
         |f: &Fingerprint| times[&f.hash()] > 1 || quarantine_state(f) != QuarantineState::None;
-    let case = |crash: &&'a Crash| {
+    let with_suspects = |crash: &&'a Crash| {
         let suspects = crash.lost.iter().filter(|(f, _)| is_suspect(f));
-        Case { at: crash.at, suspects: suspects.map(|(f, ran_ms)| (f, *ran_ms)).collect() }
+        SuspectedCrash {
+            at: crash.at,
+            suspects: suspects.map(|(f, ran_ms)| (f, *ran_ms)).collect(),
+        }
     };
-    crashes.iter().map(case).collect()
+    crashes.iter().map(with_suspects).collect()
 }
 
-/// The requests that explain crashes, those that are refused already included but for the
-/// settled ones, which explain theirs without being looked at.
+/// The requests that explain the crashes, including requests that are refused already. The
+/// settled ones are left out: they explain their crashes without further evidence.
 pub(super) fn culprits(
     crashes: &[&Crash],
     is_settled: impl Fn(&Fingerprint) -> bool,
     quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
 ) -> Vec<Blame> {
-    let mut open = cases(crashes, quarantine_state);
-    let in_all = records(&open, quarantine_state);
-    open.retain(|case| !case.suspects.iter().any(|(f, _)| is_settled(f)));
+    let mut unexplained = suspected_crashes(crashes, quarantine_state);
+    let in_all = losses_by_request(&unexplained, quarantine_state);
+    unexplained.retain(|crash| !crash.suspects.iter().any(|(f, _)| is_settled(f)));
     let mut culprits = Vec::new();
-    while let Some(blame) = most_suspect(&open, &in_all, quarantine_state) {
-        open.retain(|case| !case.is_with(&blame.fingerprint));
+    while let Some(blame) = most_suspect(&unexplained, &in_all, quarantine_state) {
+        unexplained.retain(|crash| !crash.has_suspect(&blame.fingerprint));
         culprits.push(blame);
     }
     let is_new = |f: &Fingerprint| culprits.iter().all(|blame| blame.fingerprint != *f);
-    let always = in_all.iter().filter(|(f, record)| record.crashes >= ALWAYS && is_new(f));
-    let always: Vec<_> = always.map(|(f, record)| Blame::of(f, record.crashes, 0)).collect();
-    culprits.extend(always);
+    let beside_culprits = in_all
+        .iter()
+        .filter(|(f, losses)| losses.crashes >= MIN_CRASHES_BESIDE_CULPRITS && is_new(f));
+    let beside_culprits: Vec<_> =
+        beside_culprits.map(|(f, losses)| Blame::of(f, losses.crashes, 0)).collect();
+    culprits.extend(beside_culprits);
     culprits
 }
 
@@ -124,54 +133,60 @@
     }
 }
 
-/// The request that explains most crashes, if it explains enough. Of those that explain the
-/// same, the one that had been there for the shortest time: others are there for any time.
+/// The request that explains the most crashes, if one explains enough. Among requests that
+/// explain equally many, it is the one with the shortest total run time: a culprit crashes its
+/// endpoint soon, while other requests may have run for any time.
 fn most_suspect(
-    open: &[Case<'_>],
-    in_all: &Records<'_>,
+    unexplained: &[SuspectedCrash<'_>],
+    in_all: &LossesByRequest<'_>,
     quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
 ) -> Option<Blame> {
-    let records = records(open, quarantine_state);
-    let is_repeated = |f: &Fingerprint| records.get(f).is_some_and(|r| r.crashes >= ENOUGH);
-    let by_chance = open.iter().filter(|case| !case.suspects.iter().any(|(f, _)| is_repeated(f)));
-    let by_chance: Vec<_> = by_chance.map(|case| case.at).collect();
-    let enough = records.iter().filter_map(|(fingerprint, record)| {
-        let beside = by_chance.iter().filter(|at| (record.first..=record.last).contains(*at));
-        let by_chance = beside.count();
-        let among = record.crashes + by_chance;
-        let in_all = in_all.get(fingerprint).map_or(0, |record| record.crashes);
-        let is_enough = record.since_trial > 0 || is_enough(record.crashes, in_all, among);
-        is_enough.then_some((*fingerprint, record, by_chance))
+    let losses_by_request = losses_by_request(unexplained, quarantine_state);
+    let is_repeated =
+        |f: &Fingerprint| losses_by_request.get(f).is_some_and(|r| r.crashes >= MIN_CRASHES);
+    let by_chance =
+        unexplained.iter().filter(|crash| !crash.suspects.iter().any(|(f, _)| is_repeated(f)));
+    let by_chance: Vec<_> = by_chance.map(|crash| crash.at).collect();
+    let candidates = losses_by_request.iter().filter_map(|(fingerprint, losses)| {
+        let in_period = by_chance.iter().filter(|at| (losses.first..=losses.last).contains(*at));
+        let by_chance = in_period.count();
+        let among = losses.crashes + by_chance;
+        let in_all = in_all.get(fingerprint).map_or(0, |losses| losses.crashes);
+        let is_culprit = losses.since_trial > 0 || exceeds_chance(losses.crashes, in_all, among);
+        is_culprit.then_some((*fingerprint, losses, by_chance))
     });
-    let most = enough.max_by_key(|(f, record, _)| (record.crashes, Reverse((record.ran_ms, *f))));
-    most.map(|(fingerprint, record, by_chance)| Blame::of(fingerprint, record.crashes, by_chance))
+    let best =
+        candidates.max_by_key(|(f, losses, _)| (losses.crashes, Reverse((losses.ran_ms, *f))));
+    best.map(|(fingerprint, losses, by_chance)| Blame::of(fingerprint, losses.crashes, by_chance))
 }
 
-fn records<'a>(
-    cases: &[Case<'a>],
+fn losses_by_request<'a>(
+    crashes: &[SuspectedCrash<'a>],
     quarantine_state: &impl Fn(&Fingerprint) -> QuarantineState,
-) -> Records<'a> {
-    let mut records = Records::new();
-    for Case { at, suspects } in cases {
+) -> LossesByRequest<'a> {
+    let mut losses_by_request = LossesByRequest::new();
+    for SuspectedCrash { at, suspects } in crashes {
         for (fingerprint, ran_ms) in suspects {
-            let none = Record { crashes: 0, ran_ms: 0, first: *at, last: *at, since_trial: 0 };
-            let record = records.entry(*fingerprint).or_insert(none);
-            record.crashes += 1;
-            record.ran_ms += u64::from(*ran_ms);
-            record.first = record.first.min(*at);
-            record.last = record.last.max(*at);
+            let none = Losses { crashes: 0, ran_ms: 0, first: *at, last: *at, since_trial: 0 };
+            let losses = losses_by_request.entry(*fingerprint).or_insert(none);
+            losses.crashes += 1;
+            losses.ran_ms += u64::from(*ran_ms);
+            losses.first = losses.first.min(*at);
+            losses.last = losses.last.max(*at);
             if let QuarantineState::Trial(since) = quarantine_state(fingerprint) {
-                record.since_trial += usize::from(*at >= since);
+                losses.since_trial += usize::from(*at >= since);
             }
         }
     }
-    records
+    losses_by_request
 }
 
-/// Whether so many crashes that nothing else explains, of so many in all, are more than
-/// chance where there were so many among them. One that another request explains counts
-/// half: where two culprits always met, the second would end three more endpoints otherwise.
-fn is_enough(crashes: usize, in_all: usize, among: usize) -> bool {
-    let halves = crashes + in_all;
-    halves >= 2 * ENOUGH_AMONG_MANY || halves >= 2 * ENOUGH && crashes * ITS_PART >= among
+/// Whether losses of a request are more than chance: `crashes` that nothing else explains, of
+/// `in_all` crashes in which it was lost, where `among` also counts the crashes by chance in its
+/// period. A crash that another request explains counts half. Without this, the second of two
+/// culprits that were always lost together would crash three more endpoints before it is blamed.
+fn exceeds_chance(crashes: usize, in_all: usize, among: usize) -> bool {
+    let half_crashes = crashes + in_all;
+    half_crashes >= 2 * MIN_CRASHES_IN_OUTAGE
+        || half_crashes >= 2 * MIN_CRASHES && crashes * MIN_PART_DIVISOR >= among
 }
--- a/src/quarantine/starts.rs
+++ b/src/quarantine/starts.rs
@@ -1,8 +1,8 @@
-//! Starts of endpoints, as they become known after what was seen of them.
+//! Starts of endpoints that become known only after routers observed them.
 //!
-//! An endpoint that crashed may answer again, as another start, before anybody has heard that
-//! it started again: heartbeats come every second or so, and answers come at once. To a router
-//! that looks like a sign of life of the start that crashed.
+//! An endpoint that crashed may restart and answer before any host has recorded the new start:
+//! heartbeats arrive about once a second, while answers arrive at once. To a router, such an answer
+//! looks as if the start that crashed were still alive.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,65 +10,67 @@
 use crate::dispatch::Millis;
 use crate::registry::EndpointStart;
 
-/// Milliseconds after a sign of life in which a later start that becomes known says that the
-/// sign was the later one's: two heartbeats.
-const UNKNOWN_START_MS: Millis = 2_500;
-/// Endpoints of which it is kept when their start became known: more than a fleet has.
-const MOST_STARTS: usize = 4_096;
-/// Crashes that are kept for as long as a later start may confirm them.
-const MOST_REFUTED: usize = 256;
+/// Milliseconds within which a later start that becomes known after an observation of a live
+/// endpoint shows that the observation was of the later start: two heartbeats.
+const MAX_START_DELAY_MS: Millis = 2_500;
+/// Endpoints whose latest known start is kept: more than a fleet has.
+const MAX_STARTS: usize = 4_096;
+/// Refuted crashes that are kept while a later start may still confirm them.
+const MAX_REFUTED: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownStart {
     started_at_ms: u64,
-    since: Millis,
+    known_at: Millis,
 }
 
-/// Crashes that a sign of life refuted, and the starts that are known.
+/// The latest known start of each endpoint, and crashes that were refuted because the endpoint
+/// seemed alive.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Starts {
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, KnownStart>,
     refuted: VecDeque<(Crash, Millis)>,
 }
 
 impl Starts {
-    /// Whether a sign of life at this time was a later start's.
-    pub fn is_of_a_later_one(&self, alive_at: Millis, endpoint: &EndpointStart) -> bool {
+    /// Whether an observation that this start was alive at this time belongs to a later start.
+    pub fn is_from_later_start(&self, alive_at: Millis, endpoint: &EndpointStart) -> bool {
         self.known.get(&endpoint.id).is_some_and(|known| {
             known.started_at_ms > endpoint.started_at_ms
-                && known.since < alive_at.saturating_add(UNKNOWN_START_MS)
+                && known.known_at < alive_at.saturating_add(MAX_START_DELAY_MS)
         })
     }
 
-    /// A sign of life refuted a crash, which is kept for as long as that may be wrong.
-    pub fn refuted(&mut self, now: Millis, crash: Crash, alive_at: Millis) {
-        self.refuted.retain(|(_, alive_at)| now < *alive_at + UNKNOWN_START_MS);
-        if self.refuted.len() < MOST_REFUTED {
+    /// Keeps a crash that was refuted because the endpoint was alive at `alive_at`, while a later
+    /// start may still show that to be wrong.
+    pub fn record_refuted(&mut self, now: Millis, crash: Crash, alive_at: Millis) {
+        self.refuted.retain(|(_, alive_at)| now < *alive_at + MAX_START_DELAY_MS);
+        if self.refuted.len() < MAX_REFUTED {
             self.refuted.push_back((crash, alive_at));
         }
     }
 
-    /// A start became known. Returns the crashes of earlier ones that it confirms.
-    pub fn started(&mut self, now: Millis, start: &EndpointStart) -> Vec<Crash> {
+    /// Records that a start became known. Returns the crashes of earlier starts that it confirms.
+    pub fn record_start(&mut self, now: Millis, start: &EndpointStart) -> Vec<Crash> {
         let before = self.known.get(&start.id);
         if before.is_some_and(|known| known.started_at_ms >= start.started_at_ms) {
             return Vec::new();
         }
-        if before.is_some() || self.known.len() < MOST_STARTS {
-            let known = Known { started_at_ms: start.started_at_ms, since: now };
+        if before.is_some() || self.known.len() < MAX_STARTS {
+            let known = KnownStart { started_at_ms: start.started_at_ms, known_at: now };
             self.known.insert(start.id.clone(), known);
         }
         let is_confirmed = |(crash, alive_at): &(Crash, Millis)| {
             crash.endpoint.id == start.id
                 && crash.endpoint.started_at_ms < start.started_at_ms
-                && now < *alive_at + UNKNOWN_START_MS
+                && now < *alive_at + MAX_START_DELAY_MS
         };
-        let (confirmed, rest) = self.refuted.drain(..).partition::<Vec<_>, _>(is_confirmed);
-        self.refuted.extend(rest);
+        let (confirmed, unconfirmed) = self.refuted.drain(..).partition::<Vec<_>, _>(is_confirmed);
+        self.refuted.extend(unconfirmed);
         confirmed.into_iter().map(|(crash, _)| crash).collect()
     }
 
-    /// An endpoint that is gone for good.
+    /// Forgets an endpoint that is gone for good.
     pub fn forget(&mut self, id: &str) {
         self.known.remove(id);
     }
