--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,16 +1,17 @@
-//! Requests that crash the endpoints that run them, and come again: after a few crashes they
-//! are refused at every router.
+//! Quarantine of requests that crash endpoints: a request that is sent again after several
+//! crashes is refused at every router.
 //!
-//! A request is known again by its [`Fingerprint`]. A router notes which requests were lost
-//! when an endpoint broke off, and tells the leader ([`ObservationLog`]); the leader puts together
-//! what all routers lost, and blames the fewest requests that explain the crashes
-//! ([`CrashAnalysis`]). Whom it blames is agreed on by the control hosts ([`Quarantines`]), so that
-//! it outlives them, and told to every router by feed. A router without a leader in reach
-//! blames by what it saw itself ([`CrashGuard`]).
+//! A request is identified by its [`Fingerprint`]. A router records which requests were lost
+//! when an endpoint ended their answers early, and reports them to the leader
+//! ([`ObservationLog`]). The leader combines the losses of all routers, and blames the fewest
+//! requests that explain the crashes ([`CrashAnalysis`]). The control hosts agree on the blamed
+//! requests ([`Quarantines`]), so that a quarantine outlives the leader, and send them to every
+//! router by feed. A router that cannot reach a leader decides from its own observations
+//! ([`CrashGuard`]).
 //!
-//! A request that was only beside a crash is not blamed for it once the culprit is known, nor
-//! one that is served elsewhere, nor is anything blamed for an endpoint that goes on
-//! answering. See `docs/design/crashing-requests.md` for what was weighed.
+//! A request that was in flight beside the culprit is not blamed once the culprit is known, nor
+//! is a request that is served elsewhere. No request is blamed for losses at an endpoint that
+//! keeps answering. See `docs/design/crashing-requests.md` for the alternatives considered.
 
 mod crash;
 mod crash_analysis;
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! How a request is told apart from others, so that it is known when it comes again.
+//! Fingerprints, by which a request is recognised when it is sent again.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,23 +7,23 @@
 use snafu::Snafu;
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_64_with_seed};
 
-/// A request as it comes again and again: whose it is, and a digest of its path and body.
-/// The customer stands beside the digest, so that nobody can make up a request that is
-/// taken for another customer's.
+/// Identifies a request across attempts: its customer, and a digest of its path and body. The
+/// customer is kept beside the digest, so that no customer can forge a request with the
+/// fingerprint of another customer's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
-    /// The customer's name; empty where a route asks for none.
+    /// The customer's name; empty if the route requires none.
     pub customer: String,
     digest: u128,
 }
 
 impl Fingerprint {
-    /// The fingerprint of a customer's request: `path` is all that names its target, query
-    /// included.
+    /// The fingerprint of a customer's request: `path` holds all parts that name its target,
+    /// including the query.
     pub fn of(customer: &str, path: &[&str], body: &[u8]) -> Fingerprint {
         let mut hasher = Xxh3Default::new();
         for part in path {
-            // With the length in front no two lists of parts are alike.
+            // The length in front keeps different lists of parts from hashing alike.
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part.as_bytes());
         }
@@ -31,13 +31,13 @@
         Fingerprint { customer: customer.to_string(), digest: hasher.digest128() }
     }
 
-    /// A short hash of the whole, for tables.
+    /// A short hash of the customer and the digest, for tables.
     pub(super) fn hash(&self) -> u64 {
         xxh3_64_with_seed(self.customer.as_bytes(), self.digest as u64)
     }
 }
 
-/// A text that names no request.
+/// The error for a text that is not a fingerprint.
 #[derive(Debug, Snafu)]
 #[snafu(display("not a customer, a slash and 32 hexadecimal digits"))]
 pub struct InvalidFingerprint;
--- a/src/quarantine/known_starts.rs
+++ b/src/quarantine/known_starts.rs
@@ -1,13 +1,13 @@
-//! Follows which starts of endpoints are known.
+//! Tracks the latest known start of each endpoint.
 
 use std::collections::HashMap;
 
 use crate::registry::{EndpointStart, EndpointState, Registration};
 
-/// A step in an endpoint's life.
+/// A change of the latest known start of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartEvent {
-    /// This start is the latest that is known.
+    /// This start became the latest known one.
     Started(EndpointStart),
     /// The endpoint is gone.
     Gone(String),
@@ -23,28 +23,29 @@
     }
 }
 
-/// The starts that are known, as a registry tells them.
+/// The latest known start of each endpoint, from the changes of a registry.
 #[derive(Clone, Debug, Default)]
 pub struct KnownStarts {
     starts: HashMap<String, u64>,
 }
 
 impl KnownStarts {
-    /// What is new by changes of a registry, which are told in their order.
+    /// Applies a registry's changes, which must be passed in order, and returns the events that
+    /// follow from them.
     pub fn apply_changes(&mut self, changes: &[Registration]) -> Vec<StartEvent> {
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         for endpoint in changes {
             if endpoint.state == EndpointState::Gone {
                 if self.starts.remove(&endpoint.id).is_some() {
-                    news.push(StartEvent::Gone(endpoint.id.clone()));
+                    events.push(StartEvent::Gone(endpoint.id.clone()));
                 }
                 continue;
             }
             let before = self.starts.insert(endpoint.id.clone(), endpoint.started_at_ms);
             if before != Some(endpoint.started_at_ms) {
-                news.push(StartEvent::Started(EndpointStart::of(endpoint)));
+                events.push(StartEvent::Started(EndpointStart::of(endpoint)));
             }
         }
-        news
+        events
     }
 }
--- a/src/quarantine/model.rs
+++ b/src/quarantine/model.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused: the part of it that control hosts agree on.
+//! The quarantines that control hosts agree on, and the updates that carry them to routers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -8,65 +8,66 @@
 use super::{Fingerprint, QuarantineState};
 use crate::dispatch::Millis;
 
-/// Milliseconds for which a request is refused the first time. Its caller may have the
-/// endpoints mended or the request changed meanwhile, and one that is refused by mistake has
-/// to come back some time. Each time that it crashes an endpoint again they double.
-const FIRST_MS: u64 = 10 * 60_000;
-/// The same at most: endpoints get a new release every few days, which may bear it.
-const MOST_MS: u64 = 24 * 3_600_000;
-/// Refused requests of one customer. Each has crashed three endpoints, so that this many are
-/// a customer whose every request does; beyond them its oldest run again.
-const MOST_OF_CUSTOMER: usize = 64;
-/// Refused requests of all customers: some 60 KB in memory, in snapshots, and on the feed of
-/// a router that starts.
-const MOST: usize = 1_024;
-/// Releases that are remembered, for listeners that missed them.
-const MOST_RELEASED: usize = 256;
+/// Milliseconds for which a request is refused the first time. Meanwhile the endpoints or the
+/// request may be fixed, and a request that is refused by mistake must eventually run again. The
+/// time doubles with each further refusal.
+const FIRST_REFUSAL_MS: u64 = 10 * 60_000;
+/// Longest time in milliseconds for which a request is refused: endpoints get a new release every
+/// few days, which may handle the request.
+const MAX_REFUSAL_MS: u64 = 24 * 3_600_000;
+/// Requests of one customer that are kept. Each has crashed three endpoints, so a customer that
+/// reaches the limit is one whose every request does; beyond it the oldest are released.
+const MAX_REQUESTS_PER_CUSTOMER: usize = 64;
+/// Requests of all customers that are kept: about 60 KB in memory, in snapshots, and on the feed
+/// of a router that starts.
+const MAX_REQUESTS: usize = 1_024;
+/// Releases that are kept for subscribers that missed them.
+const MAX_RELEASED: usize = 256;
 
 /// Whether a request that crashed endpoints may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// It may run again, and one more crash is enough to refuse it anew.
+    /// It may run again, and a single further crash is enough to refuse it again.
     Trial,
     /// It is refused.
     Refused,
 }
 
-/// One request that crashed endpoints.
+/// The quarantine of one request that crashed endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
     /// Whether it may run.
     pub stage: Stage,
     /// Endpoints that it had crashed when it was last refused.
     pub crashes: u32,
-    /// How often it was refused anew, 1 for the first time.
+    /// How often it has been refused, 1 after the first time.
     pub times: u32,
-    /// When it came to this stage, in milliseconds since the epoch.
+    /// When it entered this stage, in milliseconds since the epoch.
     pub since_ms: u64,
     /// Until when it is refused, in milliseconds since the epoch.
     pub until_ms: u64,
 }
 
-/// What the leader decides of a request.
+/// A decision of the leader on one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It crashed endpoints, and is refused.
+    /// Refuses a request that crashed endpoints.
     Refuse {
         /// The request.
         fingerprint: Fingerprint,
-        /// Endpoints that it crashed.
+        /// Number of endpoints that it crashed.
         crashes: u32,
         /// When, in milliseconds since the epoch.
         at_ms: u64,
     },
-    /// Its time is over: it may run again.
+    /// Lets a request run again on trial, once the time of its refusal is over.
     Trial {
         /// The request.
         fingerprint: Fingerprint,
         /// When, in milliseconds since the epoch.
         at_ms: u64,
     },
-    /// It crashes nothing.
+    /// Ends the quarantine of a request that does not crash endpoints.
     Release(Fingerprint),
 }
 
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Whether it says the same as another of the same request, at whatever time.
+    /// Whether another verdict on the same request is of the same kind, whatever their times.
     pub fn is_same_kind(&self, other: &Verdict) -> bool {
         std::mem::discriminant(self) == std::mem::discriminant(other)
     }
@@ -97,9 +98,9 @@
     }
 }
 
-/// A request, and the revision in which it came to be as it is.
+/// A quarantine, and the revision in which it last changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Held {
+struct Entry {
     quarantine: Quarantine,
     revision: u64,
 }
@@ -108,58 +109,58 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantines {
     revision: u64,
-    requests: BTreeMap<Fingerprint, Held>,
-    /// Requests that were released last, by revision.
+    requests: BTreeMap<Fingerprint, Entry>,
+    /// The latest released requests, each with the revision of its release.
     released: VecDeque<(u64, Fingerprint)>,
-    /// Of releases up to this revision not all are known any more.
-    forgotten: u64,
+    /// Releases up to this revision may be missing from `released`.
+    releases_dropped_to: u64,
 }
 
-/// What changed from one revision to a later one.
+/// Changes from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineUpdate {
-    /// The revision that the listener has then.
+    /// The revision that the subscriber has once it has applied the update.
     pub revision: u64,
-    /// Whether the listener has to forget all that it knows.
-    pub is_whole: bool,
-    /// Requests that are new, or in another stage, and since which revision.
+    /// Whether the update replaces all that the subscriber holds.
+    pub is_full: bool,
+    /// Requests that are new or entered another stage, each with the revision of the change.
     pub changed: Vec<(Fingerprint, Quarantine, u64)>,
-    /// Requests that are refused no more, and since which revision.
+    /// Requests that were released, each with the revision of the release.
     pub released: Vec<(u64, Fingerprint)>,
 }
 
 impl Quarantines {
-    /// Rises with every change.
+    /// The revision, which rises with every change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Takes a verdict in. One that is out of date changes nothing.
+    /// Applies a verdict. A verdict that is out of date changes nothing.
     pub fn apply(&mut self, verdict: Verdict) {
         let has_changed = match verdict {
             Verdict::Refuse { fingerprint, crashes, at_ms } => {
                 self.refuse(fingerprint, crashes, at_ms)
             }
-            Verdict::Trial { fingerprint, at_ms } => self.try_again(&fingerprint, at_ms),
+            Verdict::Trial { fingerprint, at_ms } => self.start_trial(&fingerprint, at_ms),
             Verdict::Release(fingerprint) => self.release(&fingerprint),
         };
         self.revision += u64::from(has_changed);
     }
 
     fn release(&mut self, fingerprint: &Fingerprint) -> bool {
-        let was_held = self.requests.remove(fingerprint).is_some();
-        if was_held {
-            self.note_released(self.revision + 1, fingerprint.clone());
+        let was_present = self.requests.remove(fingerprint).is_some();
+        if was_present {
+            self.record_released(self.revision + 1, fingerprint.clone());
         }
-        was_held
+        was_present
     }
 
-    fn note_released(&mut self, revision: u64, fingerprint: Fingerprint) {
+    fn record_released(&mut self, revision: u64, fingerprint: Fingerprint) {
         self.released.push_back((revision, fingerprint));
-        if self.released.len() > MOST_RELEASED
-            && let Some((forgotten, _)) = self.released.pop_front()
+        if self.released.len() > MAX_RELEASED
+            && let Some((releases_dropped_to, _)) = self.released.pop_front()
         {
-            self.forgotten = forgotten;
+            self.releases_dropped_to = releases_dropped_to;
         }
     }
 
@@ -169,64 +170,66 @@
             return false;
         }
         let times = before.map_or(1, |before| before.times.saturating_add(1));
-        let doubled = FIRST_MS << (times - 1).min(16);
-        let until_ms = at_ms + doubled.min(MOST_MS);
+        let refusal_ms = FIRST_REFUSAL_MS << (times - 1).min(16);
+        let until_ms = at_ms + refusal_ms.min(MAX_REFUSAL_MS);
         let stage = Stage::Refused;
         let quarantine = Quarantine { stage, crashes, times, since_ms: at_ms, until_ms };
-        let held = Held { quarantine, revision: self.revision + 1 };
-        self.requests.insert(fingerprint.clone(), held);
-        self.make_room(&fingerprint);
+        let entry = Entry { quarantine, revision: self.revision + 1 };
+        self.requests.insert(fingerprint.clone(), entry);
+        self.enforce_limits(&fingerprint);
         true
     }
 
-    fn try_again(&mut self, fingerprint: &Fingerprint, at_ms: u64) -> bool {
-        let Some(held) = self.requests.get_mut(fingerprint) else { return false };
-        if held.quarantine.stage != Stage::Refused {
+    fn start_trial(&mut self, fingerprint: &Fingerprint, at_ms: u64) -> bool {
+        let Some(entry) = self.requests.get_mut(fingerprint) else { return false };
+        if entry.quarantine.stage != Stage::Refused {
             return false;
         }
-        held.quarantine.stage = Stage::Trial;
-        held.quarantine.since_ms = at_ms;
-        held.revision = self.revision + 1;
+        entry.quarantine.stage = Stage::Trial;
+        entry.quarantine.since_ms = at_ms;
+        entry.revision = self.revision + 1;
         true
     }
 
-    /// Forgets requests beyond the bounds: the newcomer's customer's own first, so that no
-    /// customer's requests push out those of others.
-    fn make_room(&mut self, newcomer: &Fingerprint) {
-        if self.number_of(&newcomer.customer) > MOST_OF_CUSTOMER {
-            self.forget_oldest(&newcomer.customer, newcomer);
+    /// Evicts requests beyond the limits after one was added: first those of the same customer,
+    /// then those of the customer with the most, so that one customer's requests do not evict
+    /// those of others.
+    fn enforce_limits(&mut self, added: &Fingerprint) {
+        if self.count_of(&added.customer) > MAX_REQUESTS_PER_CUSTOMER {
+            self.evict_oldest(&added.customer, added);
         }
-        if self.requests.len() > MOST {
-            let mut numbers = BTreeMap::new();
+        if self.requests.len() > MAX_REQUESTS {
+            let mut counts = BTreeMap::new();
             for fingerprint in self.requests.keys() {
-                *numbers.entry(fingerprint.customer.as_str()).or_insert(0) += 1;
+                *counts.entry(fingerprint.customer.as_str()).or_insert(0) += 1;
             }
-            let most = numbers.into_iter().max_by_key(|(_, number): &(&str, usize)| *number);
-            let customer = most.map(|(customer, _)| customer.to_string()).unwrap_or_default();
-            self.forget_oldest(&customer, newcomer);
+            let largest = counts.into_iter().max_by_key(|(_, count): &(&str, usize)| *count);
+            let customer = largest.map(|(customer, _)| customer.to_string()).unwrap_or_default();
+            self.evict_oldest(&customer, added);
         }
     }
 
-    fn number_of(&self, customer: &str) -> usize {
+    fn count_of(&self, customer: &str) -> usize {
         self.requests.keys().filter(|f| f.customer == customer).count()
     }
 
-    /// Forgets a customer's request that is on trial for longest, or refused for longest.
-    fn forget_oldest(&mut self, customer: &str, but: &Fingerprint) {
-        let own = self.all().filter(|(f, _)| f.customer == customer && *f != but);
+    /// Evicts the customer's request that has been on trial longest or, if none is on trial, the
+    /// one that has been refused longest.
+    fn evict_oldest(&mut self, customer: &str, except: &Fingerprint) {
+        let own = self.all().filter(|(f, _)| f.customer == customer && *f != except);
         let oldest = own.min_by_key(|(_, quarantine)| (quarantine.stage, quarantine.since_ms));
         if let Some(oldest) = oldest.map(|(fingerprint, _)| fingerprint.clone()) {
             self.release(&oldest);
         }
     }
 
-    /// One request, if it is refused or on trial.
+    /// The quarantine of a request, if it is refused or on trial.
     pub fn get(&self, fingerprint: &Fingerprint) -> Option<&Quarantine> {
-        self.requests.get(fingerprint).map(|held| &held.quarantine)
+        self.requests.get(fingerprint).map(|entry| &entry.quarantine)
     }
 
-    /// How closely a request is looked at; `at_epoch` tells when on this process's clock it
-    /// was a time of day.
+    /// The quarantine state of a request. `at_epoch` converts milliseconds since the epoch to
+    /// this process's clock.
     pub fn quarantine_state(
         &self,
         of: &Fingerprint,
@@ -243,7 +246,7 @@
 
     /// All requests that are refused or on trial.
     pub fn all(&self) -> impl Iterator<Item = (&Fingerprint, &Quarantine)> {
-        self.requests.iter().map(|(fingerprint, held)| (fingerprint, &held.quarantine))
+        self.requests.iter().map(|(fingerprint, entry)| (fingerprint, &entry.quarantine))
     }
 
     /// Whether nothing is refused or on trial.
@@ -251,7 +254,7 @@
         self.requests.is_empty()
     }
 
-    /// Requests that are refused here and were let run again until `later`.
+    /// Requests that are refused here, and may run in the state `later`.
     pub fn no_longer_refused<'a>(
         &'a self,
         later: &'a Quarantines,
@@ -261,45 +264,47 @@
         refused.map(|(f, _)| f).filter(move |f| !later.get(f).is_some_and(is_refused))
     }
 
-    /// What a listener has to be told that has this revision at least; none where that is
-    /// all. Every control host comes through the same revisions, so that news of one fit on
-    /// those of another.
+    /// The update for a subscriber that has at least this revision; none if it is up to date.
+    /// All control hosts pass through the same revisions, so an update from one host applies to a
+    /// state received from another.
     pub fn update_after(&self, revision: u64) -> Option<QuarantineUpdate> {
         if revision >= self.revision {
             return None;
         }
-        let is_whole = revision == 0 || revision < self.forgotten;
-        let after = if is_whole { 0 } else { revision };
-        let changed = self.requests.iter().filter(|(_, held)| held.revision > after);
-        let released = self.released.iter().filter(|(at, _)| *at > after && !is_whole);
+        let is_full = revision == 0 || revision < self.releases_dropped_to;
+        let after = if is_full { 0 } else { revision };
+        let changed = self.requests.iter().filter(|(_, entry)| entry.revision > after);
+        let released = self.released.iter().filter(|(at, _)| *at > after && !is_full);
         Some(QuarantineUpdate {
             revision: self.revision,
-            is_whole,
-            changed: changed.map(|(f, held)| (f.clone(), held.quarantine, held.revision)).collect(),
+            is_full,
+            changed: changed
+                .map(|(f, entry)| (f.clone(), entry.quarantine, entry.revision))
+                .collect(),
             released: released.cloned().collect(),
         })
     }
 
-    /// Takes news in, if they are newer.
-    pub fn adopt(&mut self, news: QuarantineUpdate) -> bool {
-        if news.revision <= self.revision {
+    /// Applies an update if it has a later revision. Returns whether it did.
+    pub fn adopt(&mut self, update: QuarantineUpdate) -> bool {
+        if update.revision <= self.revision {
             return false;
         }
-        if news.is_whole {
+        if update.is_full {
             self.requests.clear();
             self.released.clear();
-            self.forgotten = news.revision;
+            self.releases_dropped_to = update.revision;
         }
-        for (revision, fingerprint) in news.released {
+        for (revision, fingerprint) in update.released {
             if revision > self.revision {
                 self.requests.remove(&fingerprint);
-                self.note_released(revision, fingerprint);
+                self.record_released(revision, fingerprint);
             }
         }
-        for (fingerprint, quarantine, revision) in news.changed {
-            self.requests.insert(fingerprint, Held { quarantine, revision });
+        for (fingerprint, quarantine, revision) in update.changed {
+            self.requests.insert(fingerprint, Entry { quarantine, revision });
         }
-        self.revision = news.revision;
+        self.revision = update.revision;
         true
     }
 }
--- a/src/quarantine/report.rs
+++ b/src/quarantine/report.rs
@@ -1,41 +1,41 @@
-//! What a router tells the leader of crashes.
+//! Reports of crashes that routers send to the leader.
 
 use serde::{Deserialize, Serialize};
 
 use super::Fingerprint;
 use crate::registry::EndpointStart;
 
-/// What a router saw. It may tell the same several times.
+/// A router's observations. A router may send the same observation several times.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// What it saw, in order.
+    /// The observations, in the order in which they were made.
     pub observations: Vec<Observation>,
 }
 
-/// One thing that a router saw.
+/// One observation of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Milliseconds ago.
+    /// How long ago it was made, in milliseconds.
     pub ago_ms: u32,
-    /// What it was.
+    /// The event that was observed.
     pub event: ObservedEvent,
 }
 
-/// What bears on whether a request crashes endpoints.
+/// An event that is evidence for or against a request crashing endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObservedEvent {
-    /// An endpoint broke off a request's answer.
+    /// An endpoint ended a request's answer early.
     Lost {
-        /// Where.
+        /// The start of the endpoint that ran the request.
         endpoint: EndpointStart,
         /// The request.
         fingerprint: Fingerprint,
-        /// Milliseconds for which the request had been there.
+        /// Milliseconds for which the request had run at the endpoint.
         ran_ms: u32,
     },
-    /// An endpoint answered a request that was sent to it after it had broken others off:
-    /// it did not crash.
+    /// An endpoint answered a request that was sent to it after it had ended other answers early,
+    /// so it did not crash.
     Alive(EndpointStart),
-    /// A request was served whole.
+    /// A request was served completely.
     Served(Fingerprint),
 }
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -1,4 +1,4 @@
-//! Refused requests as the tasks of one process know them.
+//! Quarantine state that the tasks of one process share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -8,16 +8,16 @@
 use super::report::{CrashReport, Observation};
 use crate::wire::HostId;
 
-/// Observations that may wait for the leader's next look: a moment's of hundreds of routers
-/// in an outage, some 4 MB. Beyond them reports are dropped; routers tell everything three
-/// times.
-const MOST_WAITING: usize = 32_768;
+/// Observations that may be pending until the leader's next analysis: those that hundreds of
+/// routers send within a moment of an outage, about 4 MB. Reports beyond this limit are
+/// dropped; routers send each observation three times.
+const MAX_PENDING: usize = 32_768;
 
-/// What was agreed, and what routers report to a leader.
+/// The agreed quarantines, and the observations that routers reported to this host.
 #[derive(Debug)]
 pub struct SharedQuarantine {
     agreed: watch::Sender<Arc<Quarantines>>,
-    waiting: Mutex<Vec<(HostId, Observation)>>,
+    pending: Mutex<Vec<(HostId, Observation)>>,
     reported: Notify,
 }
 
@@ -25,54 +25,55 @@
     fn default() -> Self {
         SharedQuarantine {
             agreed: watch::Sender::new(Arc::default()),
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
             reported: Notify::new(),
         }
     }
 }
 
 impl SharedQuarantine {
-    /// What is agreed, as known here.
+    /// The agreed quarantines, at the latest revision that this process has received.
     pub fn agreed(&self) -> Arc<Quarantines> {
         self.agreed.borrow().clone()
     }
 
-    /// The same, now and as it changes.
+    /// A receiver of the agreed quarantines that is notified of each change.
     pub fn watch(&self) -> watch::Receiver<Arc<Quarantines>> {
         self.agreed.subscribe()
     }
 
-    /// Takes the agreed state in, if it is newer.
+    /// Replaces the agreed quarantines if `quarantines` has a later revision.
     pub fn replace(&self, quarantines: &Quarantines) {
-        self.agreed.send_if_modified(|known| {
-            let is_newer = quarantines.revision() > known.revision();
+        self.agreed.send_if_modified(|current| {
+            let is_newer = quarantines.revision() > current.revision();
             if is_newer {
-                *known = Arc::new(quarantines.clone());
+                *current = Arc::new(quarantines.clone());
             }
             is_newer
         });
     }
 
-    /// Takes news of it in, if they are newer.
-    pub fn adopt(&self, news: QuarantineUpdate) {
-        self.agreed.send_if_modified(|known| Arc::make_mut(known).adopt(news));
+    /// Applies an update if it has a later revision.
+    pub fn adopt(&self, update: QuarantineUpdate) {
+        self.agreed.send_if_modified(|current| Arc::make_mut(current).adopt(update));
     }
 
-    /// A router reported to this host; false where it is dropped.
+    /// Queues the observations of a router's report. Returns false if the report was dropped.
     pub fn receive_report(&self, router: HostId, report: CrashReport) -> bool {
-        let mut waiting = self.waiting();
-        let has_room = waiting.len() + report.observations.len() <= MOST_WAITING;
+        let mut pending = self.pending();
+        let has_room = pending.len() + report.observations.len() <= MAX_PENDING;
         if has_room {
-            waiting.extend(report.observations.into_iter().map(|seen| (router, seen)));
+            pending
+                .extend(report.observations.into_iter().map(|observation| (router, observation)));
         }
-        drop(waiting);
+        drop(pending);
         self.reported.notify_one();
         has_room
     }
 
-    /// What was reported since this was asked last.
+    /// Takes the observations that were reported since the last call, each with its router.
     pub fn take_reported(&self) -> Vec<(HostId, Observation)> {
-        std::mem::take(&mut *self.waiting())
+        std::mem::take(&mut *self.pending())
     }
 
     /// Waits until something is reported.
@@ -80,7 +81,7 @@
         self.reported.notified().await;
     }
 
-    fn waiting(&self) -> MutexGuard<'_, Vec<(HostId, Observation)>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, Vec<(HostId, Observation)>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
