--- a/src/quarantine/observation_log.rs
+++ b/src/quarantine/observation_log.rs
@@ -1,4 +1,4 @@
-//! What a router saw of crashes, and what of it the leader has to be told.
+//! A router's observations of crashes, and when they are due to be sent to the leader.
 
 use std::collections::VecDeque;
 
@@ -7,43 +7,43 @@
 use crate::dispatch::Millis;
 use crate::registry::EndpointStart;
 
-/// Milliseconds after the first time when the leader is told the same again: connections
-/// may be dead for some two seconds before they are given up.
-const TOLD_AGAIN_MS: [Millis; 2] = [1_000, 3_000];
+/// Milliseconds between the first and second, and the second and third time an observation is
+/// sent to a leader: a dead connection may go undetected for about two seconds.
+const RESEND_AFTER_MS: [Millis; 2] = [1_000, 3_000];
 /// Milliseconds for which observations are kept for a new leader.
 const KEPT_MS: Millis = 10 * 60_000;
-/// Observations that are kept: some hundred bytes each, a dozen crashes of full endpoints.
-const MOST: usize = 512;
-/// Milliseconds for which a request that was served here is not taken for one that crashes
-/// endpoints.
+/// Observations that are kept, about a hundred bytes each: those of a dozen crashes of fully
+/// loaded endpoints.
+const MAX_OBSERVATIONS: usize = 512;
+/// Milliseconds for which losses of a request do not count after it was served here.
 const SERVED_MS: Millis = 10_000;
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct Entry {
     at: Millis,
     event: ObservedEvent,
-    /// How often it was told to this leader.
-    told: usize,
-    /// When it is to be told again; none when it was told often enough.
+    /// How often it was sent to the current leader.
+    times_sent: usize,
+    /// When it is to be sent next; none once it was sent often enough.
     due: Option<Millis>,
 }
 
-impl Kept {
+impl Entry {
     fn is_loss_of(&self, fingerprint: &Fingerprint) -> bool {
         matches!(&self.event, ObservedEvent::Lost { fingerprint: lost, .. } if lost == fingerprint)
     }
 }
 
-/// What a router saw lately.
+/// Recent observations of one router.
 #[derive(Clone, Debug, Default)]
 pub struct ObservationLog {
-    kept: VecDeque<Kept>,
+    entries: VecDeque<Entry>,
     served: RecentlyServed,
 }
 
 impl ObservationLog {
-    /// An endpoint broke off a request's answer. Returns the observation, unless the request
-    /// was served a moment ago.
+    /// Records that an endpoint ended a request's answer early, `ran_ms` milliseconds after the
+    /// request was sent. Returns the observation, or none if the request was served recently.
     pub fn record_loss(
         &mut self,
         now: Millis,
@@ -51,98 +51,99 @@
         fingerprint: Fingerprint,
         ran_ms: u32,
     ) -> Option<Observation> {
-        if self.served.last(&fingerprint).is_some_and(|served| now < served + SERVED_MS) {
+        if self.served.last_served(&fingerprint).is_some_and(|served| now < served + SERVED_MS) {
             return None;
         }
-        Some(self.keep(now, ObservedEvent::Lost { endpoint, fingerprint, ran_ms }))
+        Some(self.push(now, ObservedEvent::Lost { endpoint, fingerprint, ran_ms }))
     }
 
-    /// An endpoint answered a request that was sent to it at `sent`. Returns the
-    /// observation where it had broken off others before, which it did not end by.
+    /// Records that an endpoint answered a request that was sent to it at `sent_at`. Returns the
+    /// observation if answers of this endpoint were lost before that: it did not crash.
     pub fn record_answer(
         &mut self,
         now: Millis,
         at: &EndpointStart,
-        sent: Millis,
+        sent_at: Millis,
     ) -> Option<Observation> {
-        let is_refuted = |kept: &Kept| {
-            let ObservedEvent::Lost { endpoint, .. } = &kept.event else { return false };
-            endpoint == at && kept.at < sent
+        let is_refuted = |entry: &Entry| {
+            let ObservedEvent::Lost { endpoint, .. } = &entry.event else { return false };
+            endpoint == at && entry.at < sent_at
         };
-        let before = self.kept.len();
-        self.kept.retain(|kept| !is_refuted(kept));
-        (self.kept.len() < before).then(|| self.keep(now, ObservedEvent::Alive(at.clone())))
+        let before = self.entries.len();
+        self.entries.retain(|entry| !is_refuted(entry));
+        (self.entries.len() < before).then(|| self.push(now, ObservedEvent::Alive(at.clone())))
     }
 
-    /// A request was served whole. Returns the observation where it was lost before, or
-    /// `is_suspect` by what was agreed.
+    /// Records that a request was served completely. Returns the observation if the request was
+    /// lost before, or if it `is_suspect` because it is in quarantine.
     pub fn record_served(
         &mut self,
         now: Millis,
         fingerprint: &Fingerprint,
         is_suspect: bool,
     ) -> Option<Observation> {
-        self.served.note(now, fingerprint);
-        let before = self.kept.len();
+        self.served.record(now, fingerprint);
+        let before = self.entries.len();
         self.discard_losses(fingerprint);
-        let was_lost = self.kept.len() < before;
-        (was_lost || is_suspect).then(|| self.keep(now, ObservedEvent::Served(fingerprint.clone())))
+        let was_lost = self.entries.len() < before;
+        (was_lost || is_suspect).then(|| self.push(now, ObservedEvent::Served(fingerprint.clone())))
     }
 
-    /// A request may run again: what was lost of it counts no more.
+    /// Discards the losses of a request that may run again.
     pub fn discard_losses(&mut self, fingerprint: &Fingerprint) {
-        self.kept.retain(|kept| !kept.is_loss_of(fingerprint));
+        self.entries.retain(|entry| !entry.is_loss_of(fingerprint));
     }
 
-    /// A request is refused from now on: it is kept for the leader if it was served here,
-    /// a moment before it was blamed.
+    /// Records for the leader that a request which is refused from now on was served here shortly
+    /// before, if it was.
     pub fn record_refusal(&mut self, now: Millis, fingerprint: &Fingerprint) {
-        let last = self.served.last(fingerprint);
+        let last = self.served.last_served(fingerprint);
         if let Some(at) = last.filter(|at| now < at + SERVED_MS) {
-            self.keep(at, ObservedEvent::Served(fingerprint.clone()));
+            self.push(at, ObservedEvent::Served(fingerprint.clone()));
         }
     }
 
-    fn keep(&mut self, at: Millis, event: ObservedEvent) -> Observation {
+    fn push(&mut self, at: Millis, event: ObservedEvent) -> Observation {
         let observation = Observation { ago_ms: 0, event: event.clone() };
-        self.kept.push_back(Kept { at, event, told: 0, due: Some(at) });
-        if self.kept.len() > MOST {
-            self.kept.pop_front();
+        self.entries.push_back(Entry { at, event, times_sent: 0, due: Some(at) });
+        if self.entries.len() > MAX_OBSERVATIONS {
+            self.entries.pop_front();
         }
         observation
     }
 
-    /// Whether anything was seen that bears on crashes.
+    /// Whether there are no observations.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.entries.is_empty()
     }
 
-    /// What the leader is to be told now; it counts as told then.
+    /// Takes the report of all observations that are due, which count as sent from then on.
     pub fn report(&mut self, now: Millis) -> CrashReport {
-        while self.kept.front().is_some_and(|kept| kept.at + KEPT_MS <= now) {
-            self.kept.pop_front();
+        while self.entries.front().is_some_and(|entry| entry.at + KEPT_MS <= now) {
+            self.entries.pop_front();
         }
         let mut observations = Vec::new();
-        for kept in self.kept.iter_mut().filter(|kept| kept.due.is_some_and(|due| due <= now)) {
-            let again = TOLD_AGAIN_MS.get(kept.told);
-            kept.due = again.map(|after| now + after);
-            kept.told += 1;
-            let ago_ms = u32::try_from(now.saturating_sub(kept.at)).unwrap_or(u32::MAX);
-            observations.push(Observation { ago_ms, event: kept.event.clone() });
+        for entry in self.entries.iter_mut().filter(|entry| entry.due.is_some_and(|due| due <= now))
+        {
+            let resend_after = RESEND_AFTER_MS.get(entry.times_sent);
+            entry.due = resend_after.map(|after| now + after);
+            entry.times_sent += 1;
+            let ago_ms = u32::try_from(now.saturating_sub(entry.at)).unwrap_or(u32::MAX);
+            observations.push(Observation { ago_ms, event: entry.event.clone() });
         }
         CrashReport { observations }
     }
 
-    /// When there is something to tell next.
+    /// When the next observation is due, if any.
     pub fn due(&self) -> Option<Millis> {
-        self.kept.iter().filter_map(|kept| kept.due).min()
+        self.entries.iter().filter_map(|entry| entry.due).min()
     }
 
-    /// Another leader, or another connection to it: all has to be told anew.
-    pub fn tell_anew(&mut self, now: Millis) {
-        for kept in &mut self.kept {
-            kept.told = 0;
-            kept.due = Some(now);
+    /// Makes all observations due again, for another leader or another connection to it.
+    pub fn resend_all(&mut self, now: Millis) {
+        for entry in &mut self.entries {
+            entry.times_sent = 0;
+            entry.due = Some(now);
         }
     }
 }
--- a/src/quarantine/served.rs
+++ b/src/quarantine/served.rs
@@ -1,9 +1,9 @@
-//! Which requests were served lately, in little memory.
+//! Recently served requests, in bounded memory.
 
 use super::Fingerprint;
 use crate::dispatch::Millis;
 
-/// Requests that are remembered: at 200 a second and router, the last minute of them.
+/// Requests that are remembered: at 200 a second per router, those of the last minute.
 const SLOTS: usize = 8_192;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -12,8 +12,8 @@
     at: Millis,
 }
 
-/// When requests were last served here. Of two that share a slot the later one is known:
-/// who floods a router with requests makes it forget, and costs it no memory.
+/// When requests were last served by this router. Each slot holds the latest request that maps to
+/// it, so a flood of requests makes the router forget earlier ones, but takes no more memory.
 #[derive(Clone, Debug)]
 pub struct RecentlyServed {
     slots: Vec<Slot>,
@@ -26,14 +26,14 @@
 }
 
 impl RecentlyServed {
-    /// A request was served whole.
-    pub fn note(&mut self, now: Millis, fingerprint: &Fingerprint) {
+    /// Records that a request was served completely.
+    pub fn record(&mut self, now: Millis, fingerprint: &Fingerprint) {
         let tag = fingerprint.hash();
         self.slots[tag as usize % SLOTS] = Slot { tag, at: now };
     }
 
-    /// When a request was last served, as far as that is remembered.
-    pub fn last(&self, fingerprint: &Fingerprint) -> Option<Millis> {
+    /// When a request was last served, if that is still remembered.
+    pub fn last_served(&self, fingerprint: &Fingerprint) -> Option<Millis> {
         let tag = fingerprint.hash();
         let slot = self.slots[tag as usize % SLOTS];
         (slot.tag == tag).then_some(slot.at)
--- a/src/quarantine/suspected_endpoints.rs
+++ b/src/quarantine/suspected_endpoints.rs
@@ -1,40 +1,46 @@
-//! Endpoints that broke something off a moment ago and may have crashed.
+//! Endpoints that recently ended an answer early and may have crashed.
 
 use std::collections::HashMap;
 
 use crate::dispatch::Millis;
 use crate::registry::EndpointStart;
 
-/// Milliseconds after which an endpoint that has not been heard since is not listened for
-/// any more: the blame for its crash was found long before.
-const LISTENED_MS: Millis = 10_000;
+/// Milliseconds for which an endpoint stays suspected after a loss: by then its crash has long
+/// been analysed.
+const SUSPECTED_MS: Millis = 10_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Doubt {
+struct Suspect {
     started_at_ms: u64,
     lost_at: Millis,
 }
 
-/// Endpoints of which a sign of life is listened for.
+/// Suspected endpoints by id. An answer from one of them shows that it did not crash.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Doubts {
-    endpoints: HashMap<String, Doubt>,
+pub(super) struct SuspectedEndpoints {
+    endpoints: HashMap<String, Suspect>,
 }
 
-impl Doubts {
-    /// An endpoint broke off an answer.
-    pub fn note(&mut self, now: Millis, endpoint: &EndpointStart) {
-        let doubt = Doubt { started_at_ms: endpoint.started_at_ms, lost_at: now };
-        self.endpoints.insert(endpoint.id.clone(), doubt);
+impl SuspectedEndpoints {
+    /// Records that an endpoint ended an answer early.
+    pub fn record_loss(&mut self, now: Millis, endpoint: &EndpointStart) {
+        let suspect = Suspect { started_at_ms: endpoint.started_at_ms, lost_at: now };
+        self.endpoints.insert(endpoint.id.clone(), suspect);
     }
 
-    /// An endpoint was there at `alive_at`; whether it was in doubt.
-    pub fn refute(&mut self, now: Millis, id: &str, started_at_ms: u64, alive_at: Millis) -> bool {
-        self.endpoints.retain(|_, doubt| now < doubt.lost_at + LISTENED_MS);
-        let is_refuted = self
-            .endpoints
-            .get(id)
-            .is_some_and(|doubt| doubt.started_at_ms == started_at_ms && doubt.lost_at < alive_at);
+    /// Records that a start of an endpoint was alive at `alive_at`. Returns whether it had been
+    /// suspected because of an earlier loss.
+    pub fn record_alive(
+        &mut self,
+        now: Millis,
+        id: &str,
+        started_at_ms: u64,
+        alive_at: Millis,
+    ) -> bool {
+        self.endpoints.retain(|_, suspect| now < suspect.lost_at + SUSPECTED_MS);
+        let is_refuted = self.endpoints.get(id).is_some_and(|suspect| {
+            suspect.started_at_ms == started_at_ms && suspect.lost_at < alive_at
+        });
         if is_refuted {
             self.endpoints.remove(id);
         }
