--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -1,4 +1,4 @@
-//! Who is blamed for which crashes, what is agreed on it, and what a router remembers.
+//! Blame for crashes, agreement on quarantines, and the observations that routers keep.
 
 mod model;
 mod observation_log;
@@ -10,7 +10,7 @@
 use crate::wire::HostId;
 
 const MINUTE_MS: Millis = 60_000;
-/// After all that happens in most tests, and before it is forgotten.
+/// After all events of most tests, and before these expire.
 const LATER: Millis = MINUTE_MS;
 
 fn request(name: &str) -> Fingerprint {
@@ -21,18 +21,23 @@
     EndpointStart { id: format!("e-{number}"), started_at_ms: 0 }
 }
 
-fn seen(event: ObservedEvent) -> Observation {
+fn observation(event: ObservedEvent) -> Observation {
     Observation { ago_ms: 0, event }
 }
 
 fn lost(endpoint: u64, name: &str, ran_ms: u32) -> Observation {
-    seen(ObservedEvent::Lost { endpoint: start(endpoint), fingerprint: request(name), ran_ms })
+    observation(ObservedEvent::Lost {
+        endpoint: start(endpoint),
+        fingerprint: request(name),
+        ran_ms,
+    })
 }
 
-/// Takes in that requests, which had been there for so long, were lost with an endpoint.
+/// Records that requests, each with its run time in milliseconds, were lost in the crash of an
+/// endpoint.
 fn crash(analysis: &mut CrashAnalysis, at: Millis, endpoint: u64, requests: &[(&str, u32)]) {
     for (name, ran_ms) in requests {
-        // Two routers lose something with each.
+        // Two routers report each loss, so that the crash is confirmed.
         analysis.record(at, HostId(1), lost(endpoint, name, *ran_ms));
         analysis.record(at, HostId(2), lost(endpoint, name, *ran_ms));
     }
@@ -68,20 +73,20 @@
 }
 
 #[test]
-fn what_was_lost_in_three_crashes_is_blamed_and_not_what_was_beside_it() {
+fn a_request_lost_in_three_crashes_is_blamed_and_those_beside_it_are_not() {
     let mut analysis = CrashAnalysis::default();
     crash(&mut analysis, 0, 1, &[("culprit", 100), ("one", 10), ("two", 500)]);
     crash(&mut analysis, 900, 2, &[("culprit", 100), ("one", 700), ("three", 40)]);
     assert_eq!(blamed(&mut analysis), []);
     crash(&mut analysis, 2_000, 3, &[("culprit", 100), ("one", 900), ("two", 20)]);
     assert_eq!(blamed(&mut analysis), [request("culprit")]);
-    // Beside the same culprit again.
+    // More losses beside the same culprit.
     crash(&mut analysis, 2_100, 4, &[("culprit", 100), ("two", 80), ("three", 40)]);
     assert_eq!(blamed(&mut analysis), [request("culprit")]);
 }
 
 #[test]
-fn what_several_routers_report_of_one_crash_counts_once() {
+fn one_crash_reported_by_several_routers_counts_once() {
     let mut analysis = CrashAnalysis::default();
     for (at, endpoint) in [(0, 1), (5, 1), (300, 1), (1_000, 2), (1_010, 2)] {
         crash(&mut analysis, at, endpoint, &[("often", 100)]);
@@ -99,7 +104,7 @@
 }
 
 #[test]
-fn one_that_was_blamed_by_mistake_is_cleared_by_a_better_explanation() {
+fn a_request_blamed_by_mistake_is_cleared_by_a_better_explanation() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
         crash(&mut analysis, endpoint * 1_000, endpoint, &[("culprit", 300), ("beside", 10)]);
@@ -115,17 +120,17 @@
 }
 
 #[test]
-fn an_endpoint_that_goes_on_answering_did_not_crash() {
+fn an_endpoint_that_keeps_answering_did_not_crash() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
         crash(&mut analysis, 0, endpoint, &[("cut", 100)]);
     }
-    analysis.record(10, HostId(1), seen(ObservedEvent::Alive(start(1))));
+    analysis.record(10, HostId(1), observation(ObservedEvent::Alive(start(1))));
     assert_eq!(blamed(&mut analysis), []);
-    // Who lost it with the others tells it again.
+    // A router reports the refuted losses again.
     crash(&mut analysis, 0, 1, &[("cut", 100)]);
     assert_eq!(blamed(&mut analysis), []);
-    // Later it does crash, and that it was there before is told again.
+    // Then the endpoint does crash, and the earlier observation of it alive is reported again.
     crash(&mut analysis, 100, 1, &[("cut", 100)]);
     let again = Observation { ago_ms: 1_000, event: ObservedEvent::Alive(start(1)) };
     analysis.record(1_010, HostId(1), again);
@@ -133,7 +138,7 @@
 }
 
 #[test]
-fn what_one_router_alone_lost_counts_after_half_a_second() {
+fn losses_of_a_single_router_count_after_half_a_second() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
         analysis.record(1_000, HostId(1), lost(endpoint, "cut", 100));
@@ -143,7 +148,7 @@
         analysis.review(1_500, |_| QuarantineState::None).blamed[0].fingerprint,
         request("cut")
     );
-    // Where others lose something at the same endpoints, nothing is waited for.
+    // If other routers report losses at the same endpoints, these count at once.
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
         analysis.record(1_000, HostId(1), lost(endpoint, "culprit", 100));
@@ -156,19 +161,19 @@
 }
 
 #[test]
-fn what_is_served_is_not_blamed_for_crashes_before_and_right_after() {
+fn a_served_request_is_not_blamed_for_crashes_before_and_shortly_after() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
         crash(&mut analysis, 0, endpoint, &[("served", 100)]);
     }
     assert_eq!(blamed(&mut analysis), [request("served")]);
-    analysis.record(500, HostId(1), seen(ObservedEvent::Served(request("served"))));
+    analysis.record(500, HostId(1), observation(ObservedEvent::Served(request("served"))));
     assert_eq!(analysis.review(LATER, |_| QuarantineState::Refused).cleared, [request("served")]);
     for endpoint in 3..9 {
         crash(&mut analysis, 2_000, endpoint, &[("served", 100)]);
     }
     assert_eq!(blamed(&mut analysis), []);
-    // Its endpoints may have got something else to stumble over.
+    // Later the endpoints may have changed, so that the request does crash them.
     for endpoint in 9..12 {
         crash(&mut analysis, 20_000, endpoint, &[("served", 100)]);
     }
@@ -176,7 +181,7 @@
 }
 
 #[test]
-fn where_endpoints_go_down_all_over_more_crashes_are_needed() {
+fn an_outage_of_many_endpoints_requires_more_crashes_for_blame() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..60 {
         let other = format!("other-{endpoint}");
@@ -192,7 +197,7 @@
 }
 
 #[test]
-fn several_that_crash_endpoints_by_turns_are_all_blamed() {
+fn several_requests_that_crash_endpoints_in_turn_are_all_blamed() {
     let mut analysis = CrashAnalysis::default();
     for round in 0..3 {
         for (number, name) in ["a", "b", "c"].iter().enumerate() {
@@ -201,7 +206,7 @@
             analysis.record(
                 endpoint * 400 + 1,
                 HostId(1),
-                seen(ObservedEvent::Served(request("beside"))),
+                observation(ObservedEvent::Served(request("beside"))),
             );
         }
     }
@@ -213,7 +218,7 @@
 }
 
 #[test]
-fn on_trial_one_crash_is_enough() {
+fn a_request_on_trial_is_blamed_after_one_crash() {
     let mut analysis = CrashAnalysis::default();
     crash(&mut analysis, 500, 1, &[("on trial", 100)]);
     let since = |at| move |_: &Fingerprint| QuarantineState::Trial(at);
@@ -222,7 +227,7 @@
 }
 
 #[test]
-fn a_crash_with_one_that_is_refused_already_says_nothing_of_others() {
+fn a_crash_explained_by_a_refused_request_is_no_evidence_against_others() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..4 {
         crash(&mut analysis, endpoint * 100, endpoint, &[("refused", 10), ("beside", 5)]);
@@ -235,13 +240,14 @@
 }
 
 #[test]
-fn crashes_are_forgotten_after_a_while_and_beyond_a_number() {
+fn crashes_expire_and_their_number_is_bounded() {
     let mut analysis = CrashAnalysis::default();
     crash(&mut analysis, 0, 1, &[("rare", 100)]);
     crash(&mut analysis, MINUTE_MS, 2, &[("rare", 100)]);
     crash(&mut analysis, 15 * MINUTE_MS, 3, &[("rare", 100)]);
     assert_eq!(analysis.review(15 * MINUTE_MS, |_| QuarantineState::None), Review::default());
-    // A customer whose every request crashes something pushes nothing out that matters.
+    // A customer whose every request crashes an endpoint fills the analysis. Among that many
+    // crashes, three losses of another request are chance.
     let mut analysis = CrashAnalysis::default();
     for number in 0..10_000 {
         let name = format!("hostile-{number}");
@@ -250,13 +256,13 @@
             crash(&mut analysis, number, 20_000 + number, &[("culprit", 10)]);
         }
         if number == 250 {
-            assert_eq!(blamed(&mut analysis), [], "among so many three are chance");
+            assert_eq!(blamed(&mut analysis), [], "three among so many crashes are chance");
         }
     }
 }
 
 #[test]
-fn of_two_that_always_met_the_second_needs_less_once_the_first_is_blamed() {
+fn the_second_of_two_culprits_needs_fewer_crashes_once_the_first_is_blamed() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..3 {
         crash(&mut analysis, endpoint * 500, endpoint, &[("first", 50), ("second", 90)]);
@@ -280,14 +286,14 @@
 }
 
 #[test]
-fn what_is_let_run_again_has_to_crash_three_more() {
+fn a_released_request_is_blamed_after_three_more_crashes() {
     let mut analysis = CrashAnalysis::default();
     for endpoint in 0..4 {
         crash(&mut analysis, endpoint * 100, endpoint, &[("culprit", 100)]);
     }
     assert_eq!(blamed(&mut analysis), [request("culprit")]);
     analysis.discard_losses(5_000, &request("culprit"));
-    // A router tells of what it lost before once more.
+    // A router reports a loss from before the release.
     crash(&mut analysis, 4_000, 9, &[("culprit", 100)]);
     for endpoint in 4..6 {
         crash(&mut analysis, endpoint * 2_000, endpoint, &[("culprit", 100)]);
@@ -310,7 +316,7 @@
 }
 
 #[test]
-fn a_look_is_due_with_news_and_when_what_one_router_lost_counts() {
+fn a_review_is_due_after_a_change_and_when_losses_of_one_router_begin_to_count() {
     let mut analysis = CrashAnalysis::default();
     assert!(!analysis.is_due(0));
     analysis.record(1_000, HostId(1), lost(1, "a", 100));
--- a/src/quarantine/tests/model.rs
+++ b/src/quarantine/tests/model.rs
@@ -1,4 +1,4 @@
-//! Requests in quarantine, as control hosts agree on them.
+//! The quarantines that control hosts agree on.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     assert_eq!(all.get(&request("a")).unwrap().until_ms, 1_000 + 10 * MINUTE_MS);
     let revision = all.revision();
     all.apply(refuse("a", 2_000));
-    assert_eq!(all.revision(), revision, "it is refused already");
+    assert_eq!(all.revision(), revision, "the request is refused already");
     all.apply(Verdict::Trial { fingerprint: request("a"), at_ms: 700_000 });
     assert_eq!(all.get(&request("a")).unwrap().stage, Stage::Trial);
     all.apply(refuse("a", 800_000));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn one_customers_requests_push_out_none_of_anothers() {
+fn one_customers_requests_evict_none_of_anothers() {
     let mut all = Quarantines::default();
     all.apply(refuse("mine", 1));
     for number in 0..5_000u64 {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn news_of_one_host_fit_on_those_of_another() {
+fn updates_of_one_host_apply_to_a_state_from_another() {
     let mut states = vec![Quarantines::default()];
     let verdicts = [
         refuse("a", 1),
@@ -55,26 +55,26 @@
         next.apply(verdict);
         states.push(next);
     }
-    // Two hosts tell of different steps, and a listener hears them in any order.
+    // Two hosts send updates of different revisions, and a subscriber receives them in any order.
     for (first, second) in (1..states.len()).flat_map(|a| (1..states.len()).map(move |b| (a, b))) {
-        let mut listener = Quarantines::default();
-        let whole = |at: usize| states[at].update_after(0).unwrap();
-        listener.adopt(whole(first));
-        listener.adopt(whole(second));
+        let mut subscriber = Quarantines::default();
+        let full_update = |at: usize| states[at].update_after(0).unwrap();
+        subscriber.adopt(full_update(first));
+        subscriber.adopt(full_update(second));
         let newest = states.last().unwrap();
-        if let Some(news) = newest.update_after(states[first.min(second)].revision()) {
-            listener.adopt(news);
+        if let Some(update) = newest.update_after(states[first.min(second)].revision()) {
+            subscriber.adopt(update);
         }
         let all = |of: &Quarantines| of.all().map(|(f, q)| (f.clone(), *q)).collect::<Vec<_>>();
-        assert_eq!(all(&listener), all(newest), "{first} and {second}");
-        assert!(newest.update_after(listener.revision()).is_none());
-        // It may tell others, as control hosts do.
+        assert_eq!(all(&subscriber), all(newest), "{first} and {second}");
+        assert!(newest.update_after(subscriber.revision()).is_none());
+        // The subscriber's state can serve updates itself, as that of control hosts does.
         for before in &states[1..] {
-            let mut told = before.clone();
-            if let Some(news) = listener.update_after(before.revision()) {
-                told.adopt(news);
+            let mut updated = before.clone();
+            if let Some(update) = subscriber.update_after(before.revision()) {
+                updated.adopt(update);
             }
-            assert_eq!(all(&told), all(newest));
+            assert_eq!(all(&updated), all(newest));
         }
     }
 }
--- a/src/quarantine/tests/starts.rs
+++ b/src/quarantine/tests/starts.rs
@@ -1,12 +1,12 @@
-//! Endpoints that crash and answer again before anybody knows that they started again.
+//! Endpoints that crash and answer again before their new start is known.
 
 use super::*;
 use crate::registry::{EndpointState, Hearing, Registration, Registry, Scope};
 
 const ROUTER: HostId = HostId(1);
 const OTHER: HostId = HostId(2);
-/// Two heartbeats.
-const UNKNOWN_MS: Millis = 2_500;
+/// Time after which a later start no longer counts as the one that was observed: two heartbeats.
+const MAX_START_DELAY_MS: Millis = 2_500;
 
 fn of(number: u64, started_at_ms: u64) -> EndpointStart {
     EndpointStart { id: format!("e-{number}"), started_at_ms }
@@ -33,20 +33,20 @@
     analysis.review(at, |_| QuarantineState::None).blamed.len()
 }
 
-/// Three endpoints crash, and each answers again under the start that crashed.
-fn three_that_answer_again(analysis: &mut CrashAnalysis) {
+/// Three endpoints crash, and each answers again, which is recorded for the start that crashed.
+fn crash_three_that_answer_again(analysis: &mut CrashAnalysis) {
     for number in 1..=3 {
         started(analysis, 0, of(number, 1));
         lose(analysis, 10_000, of(number, 1));
         alive(analysis, 10_800, of(number, 1));
     }
-    assert_eq!(blamed(analysis, 11_000), 0, "by all that is known they live");
+    assert_eq!(blamed(analysis, 11_000), 0, "as far as is known, the endpoints are alive");
 }
 
 #[test]
-fn crashes_count_whose_endpoints_turn_out_to_have_started_again() {
+fn a_refuted_crash_counts_again_once_the_endpoint_proves_to_have_restarted() {
     let mut analysis = CrashAnalysis::default();
-    three_that_answer_again(&mut analysis);
+    crash_three_that_answer_again(&mut analysis);
     for number in 1..=3 {
         started(&mut analysis, 12_000, of(number, 2));
     }
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_sign_of_life_that_is_told_after_the_later_start_refutes_nothing() {
+fn an_observation_of_an_earlier_start_after_a_later_one_is_known_refutes_nothing() {
     let mut analysis = CrashAnalysis::default();
     for number in 1..=3 {
         started(&mut analysis, 0, of(number, 1));
@@ -66,19 +66,19 @@
 }
 
 #[test]
-fn who_lived_on_and_started_again_later_did_not_crash_before() {
+fn an_endpoint_that_stayed_alive_and_restarted_later_did_not_crash_before() {
     let mut analysis = CrashAnalysis::default();
-    three_that_answer_again(&mut analysis);
+    crash_three_that_answer_again(&mut analysis);
     for number in 1..=3 {
-        started(&mut analysis, 10_800 + UNKNOWN_MS, of(number, 2));
+        started(&mut analysis, 10_800 + MAX_START_DELAY_MS, of(number, 2));
     }
     assert_eq!(blamed(&mut analysis, 20_000), 0);
 }
 
 #[test]
-fn a_start_that_is_known_already_confirms_nothing() {
+fn a_start_that_was_already_known_confirms_nothing() {
     let mut analysis = CrashAnalysis::default();
-    three_that_answer_again(&mut analysis);
+    crash_three_that_answer_again(&mut analysis);
     for number in 1..=3 {
         started(&mut analysis, 11_500, of(number, 1));
     }
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn each_start_is_told_once_and_each_end() {
-    let said = |started_at_ms, state| Registration {
+fn each_start_and_each_end_gives_one_event() {
+    let registration = |started_at_ms, state| Registration {
         started_at_ms,
         address: Some(([127, 0, 0, 1], 80).into()),
         state,
@@ -96,19 +96,19 @@
     };
     let mut registry = Registry::default();
     let mut known = KnownStarts::default();
-    let mut seen = 0;
-    let mut news = |registry: &Registry| {
-        let changes = registry.changes_after(seen, usize::MAX, Scope::All);
-        seen = changes.upto;
+    let mut last_change = 0;
+    let mut events = |registry: &Registry| {
+        let changes = registry.changes_after(last_change, usize::MAX, Scope::All);
+        last_change = changes.upto;
         known.apply_changes(&changes.endpoints)
     };
-    registry.merge(said(1, EndpointState::Ready), Hearing::FirstHand);
-    assert_eq!(news(&registry), [StartEvent::Started(of(1, 1))]);
-    registry.merge(said(1, EndpointState::Leaving), Hearing::FirstHand);
-    assert_eq!(news(&registry), []);
-    registry.merge(said(2, EndpointState::Ready), Hearing::FirstHand);
-    assert_eq!(news(&registry), [StartEvent::Started(of(1, 2))]);
+    registry.merge(registration(1, EndpointState::Ready), Hearing::FirstHand);
+    assert_eq!(events(&registry), [StartEvent::Started(of(1, 1))]);
+    registry.merge(registration(1, EndpointState::Leaving), Hearing::FirstHand);
+    assert_eq!(events(&registry), []);
+    registry.merge(registration(2, EndpointState::Ready), Hearing::FirstHand);
+    assert_eq!(events(&registry), [StartEvent::Started(of(1, 2))]);
     registry.merge(Registration::gone("e-1"), Hearing::FirstHand);
-    assert_eq!(news(&registry), [StartEvent::Gone("e-1".into())]);
-    assert_eq!(news(&registry), []);
+    assert_eq!(events(&registry), [StartEvent::Gone("e-1".into())]);
+    assert_eq!(events(&registry), []);
 }
