--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -20,7 +20,7 @@
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
 use crate::placement::{Ending, LocalPlacer, Placements, Reservation};
-use crate::quarantine::{Guard, KnownStarts, SharedQuarantine};
+use crate::quarantine::{CrashGuard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
 use crate::routing::Documents;
@@ -43,7 +43,7 @@
     /// Releases that are rolled out.
     pub rollouts: Arc<SharedRollouts>,
     /// Which requests crash endpoints.
-    pub guard: Arc<Guard>,
+    pub guard: Arc<CrashGuard>,
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Where requests for engines go.
@@ -84,7 +84,7 @@
         let rollouts = Arc::new(SharedRollouts::default());
         let hall = settings.host.hall.clone();
         let quarantine = Arc::new(SharedQuarantine::default());
-        let guard = Arc::new(Guard::new(quarantine.clone(), peers.me, peers.clock));
+        let guard = Arc::new(CrashGuard::new(quarantine.clone(), peers.me, peers.clock));
         let followed = Followed {
             documents: documents.clone(),
             registry: registry.clone(),
@@ -362,11 +362,11 @@
     while watch.changed().await.is_ok() {
         let changes = gateway.registry.read(|r| r.changes_after(seen, usize::MAX, Scope::All));
         seen = changes.upto;
-        let news = known_starts.news(&changes.endpoints);
+        let news = known_starts.apply_changes(&changes.endpoints);
         for start in &news {
             gateway.connections.forget(start.id());
         }
-        gateway.guard.take_starts(news);
+        gateway.guard.record_starts(news);
         for endpoint in &changes.endpoints {
             if endpoint.state != EndpointState::Ready {
                 gateway.connections.forget(&endpoint.id);
--- a/src/quarantine/model.rs
+++ b/src/quarantine/model.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Fingerprint, Suspicion};
+use super::{Fingerprint, QuarantineState};
 use crate::dispatch::Millis;
 
 /// Milliseconds for which a request is refused the first time. Its caller may have the
@@ -60,7 +60,7 @@
         at_ms: u64,
     },
     /// Its time is over: it may run again.
-    Try {
+    Trial {
         /// The request.
         fingerprint: Fingerprint,
         /// When, in milliseconds since the epoch.
@@ -74,13 +74,13 @@
     /// The request.
     pub fn fingerprint(&self) -> &Fingerprint {
         match self {
-            Verdict::Refuse { fingerprint, .. } | Verdict::Try { fingerprint, .. } => fingerprint,
+            Verdict::Refuse { fingerprint, .. } | Verdict::Trial { fingerprint, .. } => fingerprint,
             Verdict::Release(fingerprint) => fingerprint,
         }
     }
 
     /// Whether it says the same as another of the same request, at whatever time.
-    pub fn is_like(&self, other: &Verdict) -> bool {
+    pub fn is_same_kind(&self, other: &Verdict) -> bool {
         std::mem::discriminant(self) == std::mem::discriminant(other)
     }
 }
@@ -91,7 +91,7 @@
             Verdict::Refuse { fingerprint, crashes, .. } => {
                 write!(f, "{fingerprint} is refused after {crashes} crashes")
             }
-            Verdict::Try { fingerprint, .. } => write!(f, "{fingerprint} may run again"),
+            Verdict::Trial { fingerprint, .. } => write!(f, "{fingerprint} may run again"),
             Verdict::Release(fingerprint) => write!(f, "{fingerprint} is released"),
         }
     }
@@ -117,7 +117,7 @@
 
 /// What changed from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// The revision that the listener has then.
     pub revision: u64,
     /// Whether the listener has to forget all that it knows.
@@ -140,7 +140,7 @@
             Verdict::Refuse { fingerprint, crashes, at_ms } => {
                 self.refuse(fingerprint, crashes, at_ms)
             }
-            Verdict::Try { fingerprint, at_ms } => self.try_again(&fingerprint, at_ms),
+            Verdict::Trial { fingerprint, at_ms } => self.try_again(&fingerprint, at_ms),
             Verdict::Release(fingerprint) => self.release(&fingerprint),
         };
         self.revision += u64::from(has_changed);
@@ -227,12 +227,16 @@
 
     /// How closely a request is looked at; `at_epoch` tells when on this process's clock it
     /// was a time of day.
-    pub fn suspicion(&self, of: &Fingerprint, at_epoch: impl Fn(u64) -> Millis) -> Suspicion {
+    pub fn quarantine_state(
+        &self,
+        of: &Fingerprint,
+        at_epoch: impl Fn(u64) -> Millis,
+    ) -> QuarantineState {
         match self.get(of) {
-            None => Suspicion::None,
+            None => QuarantineState::None,
             Some(quarantine) => match quarantine.stage {
-                Stage::Refused => Suspicion::Refused,
-                Stage::Trial => Suspicion::Trial(at_epoch(quarantine.since_ms)),
+                Stage::Refused => QuarantineState::Refused,
+                Stage::Trial => QuarantineState::Trial(at_epoch(quarantine.since_ms)),
             },
         }
     }
@@ -248,7 +252,7 @@
     }
 
     /// Requests that are refused here and were let run again until `later`.
-    pub fn let_run_again<'a>(
+    pub fn no_longer_refused<'a>(
         &'a self,
         later: &'a Quarantines,
     ) -> impl Iterator<Item = &'a Fingerprint> {
@@ -260,7 +264,7 @@
     /// What a listener has to be told that has this revision at least; none where that is
     /// all. Every control host comes through the same revisions, so that news of one fit on
     /// those of another.
-    pub fn news_after(&self, revision: u64) -> Option<QuarantineNews> {
+    pub fn update_after(&self, revision: u64) -> Option<QuarantineUpdate> {
         if revision >= self.revision {
             return None;
         }
@@ -268,7 +272,7 @@
         let after = if is_whole { 0 } else { revision };
         let changed = self.requests.iter().filter(|(_, held)| held.revision > after);
         let released = self.released.iter().filter(|(at, _)| *at > after && !is_whole);
-        Some(QuarantineNews {
+        Some(QuarantineUpdate {
             revision: self.revision,
             is_whole,
             changed: changed.map(|(f, held)| (f.clone(), held.quarantine, held.revision)).collect(),
@@ -277,7 +281,7 @@
     }
 
     /// Takes news in, if they are newer.
-    pub fn adopt(&mut self, news: QuarantineNews) -> bool {
+    pub fn adopt(&mut self, news: QuarantineUpdate) -> bool {
         if news.revision <= self.revision {
             return false;
         }
