--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -7,7 +7,7 @@
 use super::state::{Command, Reply};
 use crate::clock::epoch_ms;
 use crate::config::Refusal;
-use crate::rollout::{Order, Ordered, Rollout, Stage};
+use crate::rollout::{Order, OrderOutcome, Rollout, Stage};
 use crate::telemetry::render_gauges;
 
 /// Longest name of a release, in bytes: it stands in every message about its endpoints.
@@ -68,9 +68,9 @@
                     "rollout: order of {version} for {service} within {seconds} s: {ordered:?}"
                 );
                 match ordered {
-                    Ordered::Taken => Ok(()),
-                    Ordered::UnderWay => Err(Unanswered::UnderWay),
-                    Ordered::UnknownService => Err(Unanswered::UnknownService),
+                    OrderOutcome::Taken => Ok(()),
+                    OrderOutcome::UnderWay => Err(Unanswered::UnderWay),
+                    OrderOutcome::UnknownService => Err(Unanswered::UnknownService),
                 }
             }
             other => Err(unexpected(&other)),
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -9,7 +9,7 @@
 use crate::config::{Change, History, Refusal};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::registry::DrainedHalls;
-use crate::rollout::{Order, Ordered, Rollouts, Step};
+use crate::rollout::{Order, OrderOutcome, Rollouts, Step};
 use crate::routing::Document;
 
 /// Operations whose answers are kept for resends.
@@ -83,7 +83,7 @@
     /// The data halls that are drained now.
     Halls(DrainedHalls),
     /// What became of an order to roll a release out.
-    Rollout(Ordered),
+    Rollout(OrderOutcome),
     /// The step of a roll-out was taken, or was out of date.
     Stepped,
     /// The verdict on a request was taken, or was out of date.
@@ -189,12 +189,12 @@
         self.document_version()
     }
 
-    fn start_rollout(&mut self, order: Order) -> Ordered {
+    fn start_rollout(&mut self, order: Order) -> OrderOutcome {
         let services = self.document.iter().flat_map(|document| &document.table.services);
         let is_known = services.into_iter().any(|service| service.name == order.service);
         match is_known {
             true => self.rollouts.start(order),
-            false => Ordered::UnknownService,
+            false => OrderOutcome::UnknownService,
         }
     }
 
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -6,7 +6,7 @@
 
 use super::state::*;
 use crate::config::{Change, Customer};
-use crate::rollout::{Order, Ordered, Stage, Step};
+use crate::rollout::{Order, OrderOutcome, Stage, Step};
 use crate::routing::{Document, RoutingTable, ServicePool};
 
 fn customer(name: &str) -> Customer {
@@ -141,16 +141,16 @@
 fn a_release_of_an_unknown_service_changes_nothing() {
     let mut state = with_services();
     let versions = state.versions();
-    assert_eq!(state.apply(order("no", "v2")), Reply::Rollout(Ordered::UnknownService));
+    assert_eq!(state.apply(order("no", "v2")), Reply::Rollout(OrderOutcome::UnknownService));
     assert_eq!(state.versions(), versions);
 }
 
 #[test]
 fn two_services_are_rolled_out_at_a_time() {
     let mut state = with_services();
-    assert_eq!(state.apply(order("llm", "v2")), Reply::Rollout(Ordered::Taken));
-    assert_eq!(state.apply(order("app", "v5")), Reply::Rollout(Ordered::Taken));
-    assert_eq!(state.apply(order("app", "v6")), Reply::Rollout(Ordered::UnderWay));
+    assert_eq!(state.apply(order("llm", "v2")), Reply::Rollout(OrderOutcome::Taken));
+    assert_eq!(state.apply(order("app", "v5")), Reply::Rollout(OrderOutcome::Taken));
+    assert_eq!(state.apply(order("app", "v6")), Reply::Rollout(OrderOutcome::UnderWay));
     let number = state.rollouts().get("llm").unwrap().number;
     state.apply(step(number, Stage::Shifting));
     let stage = |service| state.rollouts().get(service).unwrap().stage;
--- a/src/rollout/model.rs
+++ b/src/rollout/model.rs
@@ -86,7 +86,7 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It is taken now, or was before.
     Taken,
     /// Another order for the service is under way.
@@ -106,22 +106,22 @@
 
 impl Rollouts {
     /// Takes an order, unless another is under way. One sent again changes nothing.
-    pub fn start(&mut self, order: Order) -> Ordered {
+    pub fn start(&mut self, order: Order) -> OrderOutcome {
         if let Some(before) = self.by_service.get(&order.service) {
             let is_same = before.order.asks_the_same_as(&order);
             let is_late = order.at_ms >= before.order.at_ms + SENT_AGAIN_MS;
             if is_same && (!before.stage.is_final() || !is_late) {
-                return Ordered::Taken;
+                return OrderOutcome::Taken;
             }
             if !before.stage.is_final() {
-                return Ordered::UnderWay;
+                return OrderOutcome::UnderWay;
             }
         }
         self.revision += 1;
         let (number, stage_at_ms) = (self.revision, order.at_ms);
         let rollout = Rollout { number, order, stage: Stage::Canary, stage_at_ms };
         self.by_service.insert(rollout.order.service.clone(), rollout);
-        Ordered::Taken
+        OrderOutcome::Taken
     }
 
     /// Takes a roll-out to its next stage; one that is out of date changes nothing.
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -22,10 +22,10 @@
 #[test]
 fn an_order_sent_again_changes_nothing_and_another_has_to_wait() {
     let mut rollouts = Rollouts::default();
-    assert_eq!(rollouts.start(order("v2", 0)), Ordered::Taken);
+    assert_eq!(rollouts.start(order("v2", 0)), OrderOutcome::Taken);
     let taken = rollouts.clone();
-    assert_eq!(rollouts.start(order("v2", 3_000)), Ordered::Taken);
-    assert_eq!(rollouts.start(order("v3", 3_000)), Ordered::UnderWay);
+    assert_eq!(rollouts.start(order("v2", 3_000)), OrderOutcome::Taken);
+    assert_eq!(rollouts.start(order("v3", 3_000)), OrderOutcome::UnderWay);
     assert_eq!(rollouts, taken);
 }
 
@@ -34,9 +34,9 @@
     let mut rollouts = Rollouts::default();
     rollouts.start(order("v2", 0));
     rollouts.step(&step(&rollouts, Stage::RolledBack));
-    assert_eq!(rollouts.start(order("v2", 4_000)), Ordered::Taken);
+    assert_eq!(rollouts.start(order("v2", 4_000)), OrderOutcome::Taken);
     assert_eq!(rollouts.get("llm").unwrap().stage, Stage::RolledBack);
-    assert_eq!(rollouts.start(order("v2", 60_000)), Ordered::Taken);
+    assert_eq!(rollouts.start(order("v2", 60_000)), OrderOutcome::Taken);
     assert_eq!(rollouts.get("llm").unwrap().stage, Stage::Canary);
 }
 
