--- a/src/gateway/observed.rs
+++ b/src/gateway/observed.rs
@@ -9,7 +9,7 @@
 use super::request::Call;
 use super::state::Gateway;
 use crate::registry::Registration;
-use crate::rollout::{Release, Sample, side_of};
+use crate::rollout::{Release, TallyKey, side_of};
 
 /// A request at an endpoint; it counts as open at the endpoint's release until dropped.
 pub(super) struct Observed {
@@ -18,7 +18,7 @@
     /// The endpoint's release.
     pub version: String,
     /// Where a release is rolled out: what the request counts for.
-    sample: Option<Sample>,
+    sample: Option<TallyKey>,
     is_cold: bool,
     sent_at: Instant,
     has_answered: bool,
@@ -31,7 +31,7 @@
         let gateway = call.gateway.clone();
         let table = gateway.rollouts.table();
         let rollout = table.get(&call.service).filter(|rollout| !rollout.stage.is_final());
-        let sample = rollout.map(|rollout| Sample {
+        let sample = rollout.map(|rollout| TallyKey {
             service: call.service.clone(),
             number: rollout.number,
             route: call.route.name.clone(),
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -7,7 +7,7 @@
 
 /// What a request that was sent counts for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sample {
+pub struct TallyKey {
     /// Its service.
     pub service: String,
     /// The roll-out.
@@ -67,23 +67,23 @@
     }
 
     /// A request is sent.
-    pub fn sent(&mut self, sample: &Sample) {
+    pub fn sent(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.sent += 1);
     }
 
     /// It could not be sent. Where that was reported meanwhile, it stays counted: the
     /// part of a release is kept to on the safe side.
-    pub fn unsent(&mut self, sample: &Sample) {
+    pub fn unsent(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.sent = counts.sent.saturating_sub(1));
     }
 
     /// Its answer was a failure or never came.
-    pub fn failed(&mut self, sample: &Sample) {
+    pub fn failed(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.failed += 1);
     }
 
     /// Its answer began well and broke off later.
-    pub fn broke_off(&mut self, sample: &Sample) {
+    pub fn broke_off(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| {
             counts.failed += 1;
             counts.answered -= 1;
@@ -91,18 +91,18 @@
     }
 
     /// Its answer began well after so many milliseconds.
-    pub fn answered(&mut self, sample: &Sample, ms: f64) {
+    pub fn answered(&mut self, sample: &TallyKey, ms: f64) {
         self.count(sample, |counts| counts.add(ms));
     }
 
     /// Its answer began well, at an endpoint that is still cold: how long it took says
     /// nothing of the release.
-    pub fn answered_cold(&mut self, sample: &Sample) {
+    pub fn answered_cold(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.answered += 1);
     }
 
     /// Counts, unless a later roll-out of the service has begun.
-    fn count(&mut self, sample: &Sample, add: impl FnOnce(&mut AnswerCounts)) {
+    fn count(&mut self, sample: &TallyKey, add: impl FnOnce(&mut AnswerCounts)) {
         let counted = self.services.entry(sample.service.clone()).or_default();
         if counted.number < sample.number {
             *counted = Counted { number: sample.number, ..Counted::default() };
@@ -138,7 +138,7 @@
     pub fn put_back(&mut self, report: Report) {
         for ServiceReport { service, number, tallies, .. } in report.services {
             for RouteTally { route, release, answers } in tallies {
-                let sample = Sample { service: service.clone(), number, route, release };
+                let sample = TallyKey { service: service.clone(), number, route, release };
                 self.count(&sample, |counts| counts.merge(&answers));
             }
         }
--- a/src/rollout/tests/tally.rs
+++ b/src/rollout/tests/tally.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn sample(route: &str, release: Release) -> Sample {
-    Sample { service: "llm".into(), number: 1, route: route.into(), release }
+fn sample(route: &str, release: Release) -> TallyKey {
+    TallyKey { service: "llm".into(), number: 1, route: route.into(), release }
 }
 
 fn under_way() -> Rollouts {
@@ -99,7 +99,7 @@
     let late = tally.clone().take(&under_way());
     assert!(tally.take(&rollouts).services[0].tallies.is_empty());
     let number = rollouts.get("llm").unwrap().number;
-    tally.sent(&Sample { number, ..sample("chat", Release::New) });
+    tally.sent(&TallyKey { number, ..sample("chat", Release::New) });
     tally.put_back(late);
     assert_eq!(tally.take(&rollouts).services[0].tallies[0].answers.sent, 1);
 }
