--- a/src/gateway/observed.rs
+++ b/src/gateway/observed.rs
@@ -9,7 +9,7 @@
 use super::request::Call;
 use super::state::Gateway;
 use crate::registry::Registration;
-use crate::rollout::{Release, TallyKey, side_of};
+use crate::rollout::{Release, TallyKey, release_of};
 
 /// A request at an endpoint; it counts as open at the endpoint's release until dropped.
 pub(super) struct Observed {
@@ -35,7 +35,7 @@
             service: call.service.clone(),
             number: rollout.number,
             route: call.route.name.clone(),
-            release: side_of(rollout, &endpoint.version),
+            release: release_of(rollout, &endpoint.version),
         });
         gateway.with_releases(|releases| {
             releases.tally.opened(&call.service, &endpoint.version);
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -15,7 +15,7 @@
 use crate::registry::Registration;
 use crate::rollout::{
     ALL_PERMILLE, Cause, Grant, Release, ReleaseChoice, Rollout, Rollouts, RouterState,
-    RouterTally, Splits, side_of,
+    RouterTally, Splits, release_of,
 };
 
 /// How often the leader is told what was seen: several times within the second in which
@@ -159,7 +159,7 @@
         let allowed = self.regions_by_now();
         let regions = &self.gateway.settings.host.regions;
         let may_run = |endpoint: &Registration| {
-            side_of(rollout, &endpoint.version) == Release::Old
+            release_of(rollout, &endpoint.version) == Release::Old
                 && allowed.allows(regions.of(&endpoint.hall))
         };
         self.gateway.registry.read(|registry| registry.ready(&self.service).any(may_run))
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -27,4 +27,4 @@
 pub use rules::RolloutRules;
 pub use shared::SharedRollouts;
 pub use split::{ALL_PERMILLE, Cause, ReleaseChoice, RouterState, Splits};
-pub use tally::{RouterTally, TallyKey, side_of};
+pub use tally::{RouterTally, TallyKey, release_of};
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -19,7 +19,7 @@
 }
 
 /// The side of a roll-out that a release is on.
-pub fn side_of(rollout: &Rollout, version: &str) -> Release {
+pub fn release_of(rollout: &Rollout, version: &str) -> Release {
     match rollout.order.version == version {
         true => Release::New,
         false => Release::Old,
@@ -146,7 +146,7 @@
 
     fn open_on_old(&self, rollout: &Rollout) -> u32 {
         let releases = self.open.get(&rollout.order.service).into_iter().flatten();
-        let old = releases.filter(|(version, _)| side_of(rollout, version) == Release::Old);
+        let old = releases.filter(|(version, _)| release_of(rollout, version) == Release::Old);
         old.map(|(_, open)| open).sum()
     }
 }
