--- a/src/gateway/observed.rs
+++ b/src/gateway/observed.rs
@@ -38,9 +38,9 @@
             release: release_of(rollout, &endpoint.version),
         });
         gateway.with_releases(|releases| {
-            releases.tally.opened(&call.service, &endpoint.version);
+            releases.tally.record_opened(&call.service, &endpoint.version);
             if let Some(sample) = &sample {
-                releases.tally.sent(sample);
+                releases.tally.record_sent(sample);
             }
         });
         let observed = Observed {
@@ -80,8 +80,8 @@
         }
         let ms = self.sent_at.elapsed().as_secs_f64() * 1_000.0;
         self.gateway.with_releases(|releases| match self.is_cold {
-            true => releases.tally.answered_cold(sample),
-            false => releases.tally.answered(sample, ms),
+            true => releases.tally.record_answered_cold(sample),
+            false => releases.tally.record_answered(sample, ms),
         });
     }
 
@@ -93,8 +93,8 @@
         }
         if let Some(sample) = &self.sample {
             self.gateway.with_releases(|releases| match self.has_answered {
-                true => releases.tally.broke_off(sample),
-                false => releases.tally.failed(sample),
+                true => releases.tally.record_truncated(sample),
+                false => releases.tally.record_failed(sample),
             });
         }
         self.count("failed");
@@ -105,7 +105,7 @@
             return;
         }
         if let Some(sample) = &self.sample {
-            self.gateway.with_releases(|releases| releases.tally.unsent(sample));
+            self.gateway.with_releases(|releases| releases.tally.record_unsent(sample));
         }
         self.count("unsent");
     }
@@ -124,6 +124,6 @@
 
 impl Drop for Observed {
     fn drop(&mut self) {
-        self.gateway.with_releases(|r| r.tally.closed(&self.service, &self.version));
+        self.gateway.with_releases(|r| r.tally.record_closed(&self.service, &self.version));
     }
 }
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -43,7 +43,7 @@
 
 impl RouterTally {
     /// A request runs at an endpoint of a release.
-    pub fn opened(&mut self, service: &str, version: &str) {
+    pub fn record_opened(&mut self, service: &str, version: &str) {
         let releases = match self.open.get_mut(service) {
             Some(releases) => releases,
             None => self.open.entry(service.to_string()).or_default(),
@@ -57,7 +57,7 @@
     }
 
     /// It has ended there.
-    pub fn closed(&mut self, service: &str, version: &str) {
+    pub fn record_closed(&mut self, service: &str, version: &str) {
         let Some(releases) = self.open.get_mut(service) else { return };
         let Some(open) = releases.get_mut(version) else { return };
         *open = open.saturating_sub(1);
@@ -67,23 +67,23 @@
     }
 
     /// A request is sent.
-    pub fn sent(&mut self, sample: &TallyKey) {
+    pub fn record_sent(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.sent += 1);
     }
 
     /// It could not be sent. Where that was reported meanwhile, it stays counted: the
     /// part of a release is kept to on the safe side.
-    pub fn unsent(&mut self, sample: &TallyKey) {
+    pub fn record_unsent(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.sent = counts.sent.saturating_sub(1));
     }
 
     /// Its answer was a failure or never came.
-    pub fn failed(&mut self, sample: &TallyKey) {
+    pub fn record_failed(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.failed += 1);
     }
 
     /// Its answer began well and broke off later.
-    pub fn broke_off(&mut self, sample: &TallyKey) {
+    pub fn record_truncated(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| {
             counts.failed += 1;
             counts.answered -= 1;
@@ -91,13 +91,13 @@
     }
 
     /// Its answer began well after so many milliseconds.
-    pub fn answered(&mut self, sample: &TallyKey, ms: f64) {
+    pub fn record_answered(&mut self, sample: &TallyKey, ms: f64) {
         self.count(sample, |counts| counts.add(ms));
     }
 
     /// Its answer began well, at an endpoint that is still cold: how long it took says
     /// nothing of the release.
-    pub fn answered_cold(&mut self, sample: &TallyKey) {
+    pub fn record_answered_cold(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.answered += 1);
     }
 
--- a/src/rollout/tests/tally.rs
+++ b/src/rollout/tests/tally.rs
@@ -17,11 +17,11 @@
     let mut tally = RouterTally::default();
     let new = sample("chat", Release::New);
     for ms in [100.0, 100.0, 900.0] {
-        tally.sent(&new);
-        tally.answered(&new, ms);
+        tally.record_sent(&new);
+        tally.record_answered(&new, ms);
     }
-    tally.sent(&sample("chat", Release::Old));
-    tally.failed(&sample("chat", Release::Old));
+    tally.record_sent(&sample("chat", Release::Old));
+    tally.record_failed(&sample("chat", Release::Old));
     let report = tally.take(&under_way());
     let tallies = &report.services[0].tallies;
     assert_eq!(tallies.len(), 2);
@@ -37,14 +37,14 @@
 fn answers_of_cold_endpoints_count_without_their_time_and_one_that_breaks_off_counts_once() {
     let mut tally = RouterTally::default();
     let new = sample("chat", Release::New);
-    tally.answered_cold(&new);
-    tally.answered(&new, 100.0);
-    tally.broke_off(&new);
+    tally.record_answered_cold(&new);
+    tally.record_answered(&new, 100.0);
+    tally.record_truncated(&new);
     let answers = tally.take(&under_way()).services.remove(0).tallies.remove(0).answers;
     assert_eq!((answers.answered, answers.failed, answers.ended()), (1, 1, 2));
     assert_eq!(answers.took.len(), 1);
     // One that began before the last report breaks off.
-    tally.broke_off(&new);
+    tally.record_truncated(&new);
     let later = tally.take(&under_way()).services.remove(0).tallies.remove(0).answers;
     let mut sum = answers.clone();
     sum.merge(&later);
@@ -56,8 +56,8 @@
     let mut tally = RouterTally::default();
     let new = sample("chat", Release::New);
     for _ in 0..1_000 {
-        tally.sent(&new);
-        tally.answered(&new, 100.0);
+        tally.record_sent(&new);
+        tally.record_answered(&new, 100.0);
         let report = tally.take(&under_way());
         tally.put_back(report);
     }
@@ -71,12 +71,12 @@
 fn open_requests_on_old_releases_count_also_if_they_began_before_the_order() {
     let mut tally = RouterTally::default();
     for version in ["v1", "v1", "", "v2"] {
-        tally.opened("llm", version);
+        tally.record_opened("llm", version);
     }
-    tally.opened("app", "v1");
+    tally.record_opened("app", "v1");
     assert_eq!(tally.take(&under_way()).services[0].open_on_old, 3);
     for version in ["v1", "v1", ""] {
-        tally.closed("llm", version);
+        tally.record_closed("llm", version);
     }
     assert_eq!(tally.take(&under_way()).services[0].open_on_old, 0);
 }
@@ -84,8 +84,8 @@
 #[test]
 fn what_was_never_sent_is_not_counted_as_sent() {
     let mut tally = RouterTally::default();
-    tally.sent(&sample("chat", Release::New));
-    tally.unsent(&sample("chat", Release::New));
+    tally.record_sent(&sample("chat", Release::New));
+    tally.record_unsent(&sample("chat", Release::New));
     assert!(tally.take(&under_way()).services[0].tallies.is_empty());
 }
 
@@ -93,13 +93,13 @@
 fn counts_of_a_former_roll_out_say_nothing_of_the_next() {
     let mut rollouts = under_way();
     let mut tally = RouterTally::default();
-    tally.sent(&sample("chat", Release::New));
+    tally.record_sent(&sample("chat", Release::New));
     rollouts.step(&step(&rollouts, Stage::RolledBack));
     rollouts.start(order("v3", 60_000));
     let late = tally.clone().take(&under_way());
     assert!(tally.take(&rollouts).services[0].tallies.is_empty());
     let number = rollouts.get("llm").unwrap().number;
-    tally.sent(&TallyKey { number, ..sample("chat", Release::New) });
+    tally.record_sent(&TallyKey { number, ..sample("chat", Release::New) });
     tally.put_back(late);
     assert_eq!(tally.take(&rollouts).services[0].tallies[0].answers.sent, 1);
 }
@@ -117,8 +117,8 @@
     for route in ["long-summary", "short-answer", "next-hint"] {
         for release in [Release::New, Release::Old] {
             for ms in [40.0, 80.0, 160.0, 320.0] {
-                tally.sent(&sample(route, release));
-                tally.answered(&sample(route, release), ms);
+                tally.record_sent(&sample(route, release));
+                tally.record_answered(&sample(route, release), ms);
             }
         }
     }
