--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -176,7 +176,7 @@
     let is_under_way = |table: &Arc<Rollouts>| table.all().any(|r| !r.stage.is_final());
     while table.wait_for(is_under_way).await.is_ok() {
         let known = gateway.rollouts.table();
-        let report = gateway.with_releases(|releases| releases.tally.take(&known));
+        let report = gateway.with_releases(|releases| releases.tally.take_report(&known));
         if !gateway.feeds.report_rollouts(report.clone()) {
             gateway.with_releases(|releases| releases.tally.put_back(report));
         }
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -157,7 +157,7 @@
     }
 
     fn report(&self) -> Report {
-        self.gateway.with_releases(|releases| releases.tally.take(&self.rollouts))
+        self.gateway.with_releases(|releases| releases.tally.take_report(&self.rollouts))
     }
 }
 
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -114,7 +114,7 @@
 
     /// What there is to report of the roll-outs under way; what belongs to others is
     /// forgotten.
-    pub fn take(&mut self, rollouts: &Rollouts) -> Report {
+    pub fn take_report(&mut self, rollouts: &Rollouts) -> Report {
         let mut counted = std::mem::take(&mut self.services);
         let under_way = rollouts.all().filter(|rollout| !rollout.stage.is_final());
         let services = under_way.map(|rollout| {
--- a/src/rollout/tests/tally.rs
+++ b/src/rollout/tests/tally.rs
@@ -22,7 +22,7 @@
     }
     tally.record_sent(&sample("chat", Release::Old));
     tally.record_failed(&sample("chat", Release::Old));
-    let report = tally.take(&under_way());
+    let report = tally.take_report(&under_way());
     let tallies = &report.services[0].tallies;
     assert_eq!(tallies.len(), 2);
     let of = |release| &tallies.iter().find(|t| t.release == release).unwrap().answers;
@@ -30,7 +30,7 @@
     let took = [(AnswerCounts::bucket(100.0), 2), (AnswerCounts::bucket(900.0), 1)];
     assert_eq!(of(Release::New).took, took);
     assert_eq!((of(Release::Old).sent, of(Release::Old).failed), (1, 1));
-    assert!(tally.take(&under_way()).services[0].tallies.is_empty());
+    assert!(tally.take_report(&under_way()).services[0].tallies.is_empty());
 }
 
 #[test]
@@ -40,12 +40,12 @@
     tally.record_answered_cold(&new);
     tally.record_answered(&new, 100.0);
     tally.record_truncated(&new);
-    let answers = tally.take(&under_way()).services.remove(0).tallies.remove(0).answers;
+    let answers = tally.take_report(&under_way()).services.remove(0).tallies.remove(0).answers;
     assert_eq!((answers.answered, answers.failed, answers.ended()), (1, 1, 2));
     assert_eq!(answers.took.len(), 1);
     // One that began before the last report breaks off.
     tally.record_truncated(&new);
-    let later = tally.take(&under_way()).services.remove(0).tallies.remove(0).answers;
+    let later = tally.take_report(&under_way()).services.remove(0).tallies.remove(0).answers;
     let mut sum = answers.clone();
     sum.merge(&later);
     assert_eq!((sum.answered, sum.failed), (0, 2));
@@ -58,10 +58,10 @@
     for _ in 0..1_000 {
         tally.record_sent(&new);
         tally.record_answered(&new, 100.0);
-        let report = tally.take(&under_way());
+        let report = tally.take_report(&under_way());
         tally.put_back(report);
     }
-    let report = tally.take(&under_way());
+    let report = tally.take_report(&under_way());
     assert_eq!(report.services[0].tallies.len(), 1);
     assert_eq!(report.services[0].tallies[0].answers.sent, 1_000);
     assert_eq!(report.services[0].tallies[0].answers.took, [(AnswerCounts::bucket(100.0), 1_000)]);
@@ -74,11 +74,11 @@
         tally.record_opened("llm", version);
     }
     tally.record_opened("app", "v1");
-    assert_eq!(tally.take(&under_way()).services[0].open_on_old, 3);
+    assert_eq!(tally.take_report(&under_way()).services[0].open_on_old, 3);
     for version in ["v1", "v1", ""] {
         tally.record_closed("llm", version);
     }
-    assert_eq!(tally.take(&under_way()).services[0].open_on_old, 0);
+    assert_eq!(tally.take_report(&under_way()).services[0].open_on_old, 0);
 }
 
 #[test]
@@ -86,7 +86,7 @@
     let mut tally = RouterTally::default();
     tally.record_sent(&sample("chat", Release::New));
     tally.record_unsent(&sample("chat", Release::New));
-    assert!(tally.take(&under_way()).services[0].tallies.is_empty());
+    assert!(tally.take_report(&under_way()).services[0].tallies.is_empty());
 }
 
 #[test]
@@ -96,19 +96,19 @@
     tally.record_sent(&sample("chat", Release::New));
     rollouts.step(&step(&rollouts, Stage::RolledBack));
     rollouts.start(order("v3", 60_000));
-    let late = tally.clone().take(&under_way());
-    assert!(tally.take(&rollouts).services[0].tallies.is_empty());
+    let late = tally.clone().take_report(&under_way());
+    assert!(tally.take_report(&rollouts).services[0].tallies.is_empty());
     let number = rollouts.get("llm").unwrap().number;
     tally.record_sent(&TallyKey { number, ..sample("chat", Release::New) });
     tally.put_back(late);
-    assert_eq!(tally.take(&rollouts).services[0].tallies[0].answers.sent, 1);
+    assert_eq!(tally.take_report(&rollouts).services[0].tallies[0].answers.sent, 1);
 }
 
 #[test]
 fn nothing_is_reported_of_a_roll_out_that_has_ended() {
     let mut rollouts = under_way();
     rollouts.step(&step(&rollouts, Stage::RolledBack));
-    assert!(RouterTally::default().take(&rollouts).services.is_empty());
+    assert!(RouterTally::default().take_report(&rollouts).services.is_empty());
 }
 
 #[test]
@@ -122,8 +122,8 @@
             }
         }
     }
-    let bytes = postcard::to_stdvec(&tally.take(&under_way())).unwrap().len();
-    let idle = postcard::to_stdvec(&tally.take(&under_way())).unwrap().len();
+    let bytes = postcard::to_stdvec(&tally.take_report(&under_way())).unwrap().len();
+    let idle = postcard::to_stdvec(&tally.take_report(&under_way())).unwrap().len();
     println!("a report of three routes takes {bytes} bytes, an empty one {idle}");
     assert!(bytes <= 256 && idle <= 16, "{bytes}, {idle}");
 }
