--- a/src/control/rollout_controller.rs
+++ b/src/control/rollout_controller.rs
@@ -102,7 +102,7 @@
         for (router, report) in &reports {
             for service in &report.services {
                 if let Some(active) = controller.active.get_mut(&service.service) {
-                    active.take(now, *router, service);
+                    active.record_report(now, *router, service);
                 }
             }
         }
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -237,7 +237,7 @@
                 Some(FeedMessage::Neighbours(neighbours(&publication.view.borrow(), &hall)))
             }
             FeedRequest::RolloutReport(report) => {
-                publication.followed.rollouts.reported(publication.subscriber, report);
+                publication.followed.rollouts.record_report(publication.subscriber, report);
                 None
             }
             FeedRequest::CrashReport(report) => {
--- a/src/rollout/active.rs
+++ b/src/rollout/active.rs
@@ -170,7 +170,7 @@
     }
 
     /// Takes a router's report in; one about an earlier order counts nothing.
-    pub fn take(&mut self, now: Millis, router: HostId, report: &ServiceReport) {
+    pub fn record_report(&mut self, now: Millis, router: HostId, report: &ServiceReport) {
         if report.number != self.rollout.number {
             return;
         }
@@ -181,7 +181,7 @@
                 Release::New => self.sent_new += sent,
                 Release::Old => self.sent_old += sent,
             }
-            self.watch.take(tally);
+            self.watch.record(tally);
         }
     }
 
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -263,7 +263,7 @@
     }
 
     /// Takes answers in that came since the last window was closed.
-    pub fn take(&mut self, tally: &RouteTally) {
+    pub fn record(&mut self, tally: &RouteTally) {
         let route = self.routes.entry(tally.route.clone()).or_default();
         let (answers, failed) = (tally.answers.ended(), tally.answers.failed);
         match tally.release {
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -113,7 +113,7 @@
     }
 
     /// A router reported to this host.
-    pub fn reported(&self, router: HostId, report: Report) {
+    pub fn record_report(&self, router: HostId, report: Report) {
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
         reports.push_back((router, report));
         if reports.len() > MOST_REPORTS {
--- a/src/rollout/tests/active.rs
+++ b/src/rollout/tests/active.rs
@@ -69,7 +69,7 @@
         now += WINDOW_MS;
         let (tallies, _) = stream.next();
         let open_on_old = if now > shifting_since + 2_000 { 0 } else { 30 };
-        active.take(now, ROUTER, &report(tallies, open_on_old));
+        active.record_report(now, ROUTER, &report(tallies, open_on_old));
         let decided = active.decide(now, &service_state(), &rules);
         let part = decided.grant.map_or(0, |grant| grant.permille);
         match decided.decision {
@@ -165,7 +165,7 @@
 fn lost_reports_count_nothing_and_old_ones_keep_no_router_empty() {
     let mut active = ActiveRollout::new(rollout(Stage::Shifting), 0, 9_000);
     let rules = RolloutRules::default();
-    active.take(100, ROUTER, &report(Vec::new(), 0));
+    active.record_report(100, ROUTER, &report(Vec::new(), 0));
     let decided = active.decide(900, &service_state(), &rules);
     assert!(matches!(decided.decision, Decision::Step(Stage::Done, Why::OldEmpty)));
     let decided = active.decide(1_100, &service_state(), &rules);
@@ -176,7 +176,7 @@
 fn a_report_about_an_earlier_order_counts_nothing() {
     let mut active = ActiveRollout::new(rollout(Stage::Canary), 0, 0);
     let (tallies, _) = Stream::new(&BUSY, Matter::Good, 0.5, 1).next();
-    active.take(100, ROUTER, &ServiceReport { number: 9, ..report(tallies, 0) });
+    active.record_report(100, ROUTER, &ServiceReport { number: 9, ..report(tallies, 0) });
     assert_eq!(active.progress().sent_new + active.progress().sent_old, 0);
 }
 
@@ -210,7 +210,7 @@
     let mut now = 0;
     while now < 3_000 {
         now += WINDOW_MS;
-        active.take(now, ROUTER, &report(stream.next().0, 9));
+        active.record_report(now, ROUTER, &report(stream.next().0, 9));
         if active.decide(now, &service_state(), &rules).decision
             == Decision::Step(Stage::RolledBack, Why::Bad)
         {
@@ -220,7 +220,7 @@
     stream.matter = Matter::Good;
     for _ in 0..50 {
         now += WINDOW_MS;
-        active.take(now, ROUTER, &report(stream.next().0, 9));
+        active.record_report(now, ROUTER, &report(stream.next().0, 9));
         let decided = active.decide(now, &service_state(), &rules);
         assert_eq!(decided.decision, Decision::Step(Stage::RolledBack, Why::Bad));
         assert_eq!(decided.grant, None);
@@ -252,7 +252,7 @@
     let mut now = 0;
     loop {
         now += WINDOW_MS;
-        active.take(now, ROUTER, &report(Vec::new(), 0));
+        active.record_report(now, ROUTER, &report(Vec::new(), 0));
         match active.decide(now, &service_state(), &rules).decision {
             Decision::Step(Stage::Shifting, why) => {
                 assert_eq!(why, Why::Idle);
--- a/src/rollout/tests/analysis.rs
+++ b/src/rollout/tests/analysis.rs
@@ -22,7 +22,7 @@
     }
 
     fn is_bad(&mut self, window: &[RouteTally]) -> bool {
-        window.iter().for_each(|tally| self.take(tally));
+        window.iter().for_each(|tally| self.record(tally));
         self.close_window(&Window::default()).level >= 1.0
     }
 }
@@ -215,8 +215,8 @@
         let mut watch = CanaryAnalysis::new(12_000);
         let mut level = 0.0;
         for _ in 0..10 {
-            watch.take(&tally(Release::Old, 50.0, 40));
-            watch.take(&tally(Release::New, 400.0, 4));
+            watch.record(&tally(Release::Old, 50.0, 40));
+            watch.record(&tally(Release::New, 400.0, 4));
             level = watch.close_window(&Window { cold_part, is_alone: false }).level;
         }
         level
@@ -229,12 +229,12 @@
 fn a_release_alone_is_compared_with_the_seconds_before() {
     let mut watch = CanaryAnalysis::new(12_000);
     for _ in 0..10 {
-        watch.take(&tally(Release::Old, 50.0, 40));
+        watch.record(&tally(Release::Old, 50.0, 40));
         watch.close_window(&Window::default());
     }
     let mut level = 0.0;
     for _ in 0..10 {
-        watch.take(&tally(Release::New, 400.0, 40));
+        watch.record(&tally(Release::New, 400.0, 40));
         level = watch.close_window(&Window { cold_part: 0.0, is_alone: true }).level;
     }
     assert!(level >= 1.0);
