--- a/src/control/rollout_controller.rs
+++ b/src/control/rollout_controller.rs
@@ -209,7 +209,7 @@
         let is_due = has_changed || self.ticks.is_multiple_of(OFFER_EVERY);
         let is_under_way = !self.active.is_empty();
         if (is_under_way && is_sure && is_due) || (!is_under_way && self.has_offered) {
-            control.rollouts.offer(grants);
+            control.rollouts.publish_grants(grants);
             self.has_offered = is_under_way;
         }
     }
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -126,7 +126,7 @@
         publication.view.mark_changed();
         Feed {
             follower: publication.followers.opened(publication.subscriber),
-            grants: publication.followed.rollouts.watch_offers(),
+            grants: publication.followed.rollouts.watch_grants(),
             publication,
             routing,
             changes,
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -103,12 +103,12 @@
     }
 
     /// The leader grants anew.
-    pub fn offer(&self, grants: Grants) {
+    pub fn publish_grants(&self, grants: Grants) {
         self.offered.send_replace(grants);
     }
 
     /// What the leader grants, each time that it does.
-    pub fn watch_offers(&self) -> watch::Receiver<Grants> {
+    pub fn watch_grants(&self) -> watch::Receiver<Grants> {
         self.offered.subscribe()
     }
 
