--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -15,7 +15,7 @@
 use crate::registry::Registration;
 use crate::rollout::{
     ALL_PERMILLE, Cause, Grant, Release, ReleaseChoice, Rollout, Rollouts, RouterState,
-    RouterTally, Splits, release_of,
+    RouterTally, TrafficSplitter, release_of,
 };
 
 /// How often the leader is told what was seen: several times within the second in which
@@ -27,7 +27,7 @@
 /// What this router knows of the releases of its services.
 #[derive(Debug, Default)]
 pub(super) struct Releases {
-    splits: Splits,
+    splits: TrafficSplitter,
     pub tally: RouterTally,
     parts: BTreeMap<String, Part>,
 }
@@ -91,7 +91,7 @@
     pub(super) fn may_go_on(&self) -> bool {
         let offset = rand::rng().random();
         self.with_situation(|releases, turn, situation| {
-            releases.splits.go_on(turn, &self.route.name, offset, situation)
+            releases.splits.try_resume(turn, &self.route.name, offset, situation)
         })
     }
 
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -84,11 +84,11 @@
 
 /// How this router divides its requests.
 #[derive(Clone, Debug, Default)]
-pub struct Splits {
+pub struct TrafficSplitter {
     services: HashMap<String, Shares>,
 }
 
-impl Splits {
+impl TrafficSplitter {
     /// Which releases may run a request now; none where no release may. `offset` is a
     /// random number from 0 to 1, from which a route starts that is new.
     pub fn rule(
@@ -176,7 +176,7 @@
 
     /// Whether an answer may go on at its release: what goes to the new one beyond its
     /// part is taken off the route's next requests.
-    pub fn go_on(
+    pub fn try_resume(
         &mut self,
         turn: &ReleaseChoice,
         route: &str,
--- a/src/rollout/tests/split.rs
+++ b/src/rollout/tests/split.rs
@@ -26,7 +26,7 @@
 
     fn ask(
         &self,
-        splits: &mut Splits,
+        splits: &mut TrafficSplitter,
         turn: &mut ReleaseChoice,
         offset: f64,
     ) -> Option<VersionRule> {
@@ -34,7 +34,7 @@
     }
 
     fn first(&self) -> Option<VersionRule> {
-        self.ask(&mut Splits::default(), &mut ReleaseChoice::default(), 0.999)
+        self.ask(&mut TrafficSplitter::default(), &mut ReleaseChoice::default(), 0.999)
     }
 
     fn with<T>(&self, f: impl FnOnce(&RouterState<'_>) -> T) -> T {
@@ -59,7 +59,7 @@
     const BOUND: f64 = 5.0 * 0.5 * 17.33;
     let world = World::new(Stage::Canary, Some(40));
     let mut random = StdRng::seed_from_u64(1);
-    let mut splits = vec![Splits::default(); ROUTERS];
+    let mut splits = vec![TrafficSplitter::default(); ROUTERS];
     let mut asked = 0.0;
     let (mut sent, mut furthest) = (0.0_f64, 0.0_f64);
     for round in 1..=60 {
@@ -82,7 +82,7 @@
 #[test]
 fn a_request_that_asks_again_counts_once() {
     let world = World::new(Stage::Canary, Some(500));
-    let mut splits = Splits::default();
+    let mut splits = TrafficSplitter::default();
     let mut sent = 0;
     for _ in 0..100 {
         let mut turn = ReleaseChoice::default();
@@ -106,7 +106,7 @@
 #[test]
 fn a_grant_that_ends_in_the_middle_takes_a_drawn_request_back() {
     let mut world = World::new(Stage::Canary, Some(500));
-    let (mut splits, mut turn) = (Splits::default(), ReleaseChoice::default());
+    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
     world.grant = None;
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
@@ -115,7 +115,7 @@
 #[test]
 fn all_requests_go_to_the_new_release_also_those_that_drew_another() {
     let mut world = World::new(Stage::Shifting, Some(10));
-    let (mut splits, mut turn) = (Splits::default(), ReleaseChoice::default());
+    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
     assert_eq!(world.ask(&mut splits, &mut turn, 0.0), not_new());
     world.grant = Some(Grant { permille: 1_000, ..world.grant.unwrap() });
     assert_eq!(world.ask(&mut splits, &mut turn, 0.0), only("v2", 9));
@@ -124,7 +124,7 @@
 #[test]
 fn what_was_rolled_back_gets_nothing_whatever_was_granted_or_drawn() {
     let mut world = World::new(Stage::Canary, Some(500));
-    let (mut splits, mut turn) = (Splits::default(), ReleaseChoice::default());
+    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
     world.rollout.stage = Stage::RolledBack;
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
@@ -145,7 +145,7 @@
 #[test]
 fn a_request_that_failed_at_the_new_release_or_had_no_place_goes_to_another() {
     let mut world = World::new(Stage::Canary, Some(999));
-    let (mut splits, mut turn) = (Splits::default(), ReleaseChoice::default());
+    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
     turn.failed_at_new(1);
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
@@ -160,7 +160,7 @@
 #[test]
 fn a_begun_answer_goes_on_at_its_release_only() {
     let world = World::new(Stage::Canary, Some(10));
-    let mut splits = Splits::default();
+    let mut splits = TrafficSplitter::default();
     let mut turn = ReleaseChoice::default();
     turn.bind("v1");
     assert_eq!(world.ask(&mut splits, &mut turn, 0.0), only("v1", u32::MAX));
@@ -177,7 +177,7 @@
 #[test]
 fn answers_that_go_on_at_the_new_release_are_part_of_its_part() {
     let world = World::new(Stage::Canary, Some(100));
-    let mut splits = Splits::default();
+    let mut splits = TrafficSplitter::default();
     let mut sent = 0;
     for _ in 0..1_000 {
         let mut turn = ReleaseChoice::default();
@@ -188,7 +188,7 @@
         // Every answer of the new release breaks off twice.
         turn.bind("v2");
         for _ in 0..2 {
-            sent += i32::from(world.with(|s| splits.go_on(&turn, "chat", 0.5, s)));
+            sent += i32::from(world.with(|s| splits.try_resume(&turn, "chat", 0.5, s)));
         }
     }
     assert!((98..=102).contains(&sent), "{sent}");
@@ -197,7 +197,7 @@
 #[test]
 fn a_later_roll_out_of_the_service_is_drawn_for_anew() {
     let mut world = World::new(Stage::Canary, Some(500));
-    let (mut splits, mut turn) = (Splits::default(), ReleaseChoice::default());
+    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
     world.rollout.number = 2;
     world.rollout.order.version = "v3".into();
@@ -208,6 +208,6 @@
 fn without_a_roll_out_any_release_runs_a_request() {
     let nothing = RouterState { rollout: None, grant: None, others_take_work: true };
     let (rule, cause) =
-        Splits::default().rule(&mut ReleaseChoice::default(), "chat", 0.5, &nothing);
+        TrafficSplitter::default().rule(&mut ReleaseChoice::default(), "chat", 0.5, &nothing);
     assert_eq!((rule, cause), (Some(VersionRule::Any), Cause::NoRollout));
 }
