--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -14,8 +14,8 @@
 use crate::eligibility::VersionRule;
 use crate::registry::Registration;
 use crate::rollout::{
-    ALL_PERMILLE, Cause, Grant, Release, ReleaseChoice, Rollout, Rollouts, RouterState,
-    RouterTally, TrafficSplitter, release_of,
+    ALL_PERMILLE, Grant, Release, ReleaseChoice, Rollout, Rollouts, RouterState, RouterTally,
+    SplitReason, TrafficSplitter, release_of,
 };
 
 /// How often the leader is told what was seen: several times within the second in which
@@ -37,13 +37,19 @@
 struct Part {
     number: u64,
     permille: u32,
-    cause: Cause,
+    cause: SplitReason,
     logged_at: Millis,
 }
 
 impl Releases {
     /// Logs that another part of a service's requests goes to its new release.
-    fn note_part(&mut self, now: Millis, rollout: &Rollout, grant: Option<&Grant>, cause: Cause) {
+    fn note_part(
+        &mut self,
+        now: Millis,
+        rollout: &Rollout,
+        grant: Option<&Grant>,
+        cause: SplitReason,
+    ) {
         let permille = grant.map_or(0, |grant| grant.permille);
         let (number, service) = (rollout.number, &rollout.order.service);
         let part = Part { number, permille, cause, logged_at: now };
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -26,5 +26,5 @@
 pub use report::{AnswerCounts, Grant, Grants, Release, Report, RouteTally, ServiceReport};
 pub use rules::RolloutRules;
 pub use shared::SharedRollouts;
-pub use split::{ALL_PERMILLE, Cause, ReleaseChoice, RouterState, TrafficSplitter};
+pub use split::{ALL_PERMILLE, ReleaseChoice, RouterState, SplitReason, TrafficSplitter};
 pub use tally::{RouterTally, TallyKey, release_of};
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -51,7 +51,7 @@
 
 /// Why requests go to the releases that they go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum SplitReason {
     /// Nothing is rolled out.
     NoRollout,
     /// The leader granted a part.
@@ -97,10 +97,10 @@
         route: &str,
         offset: f64,
         situation: &RouterState<'_>,
-    ) -> (Option<VersionRule>, Cause) {
+    ) -> (Option<VersionRule>, SplitReason) {
         let Some(rollout) = situation.rollout else {
             let rule = turn.bound.clone().map_or(VersionRule::Any, only);
-            return (Some(rule), Cause::NoRollout);
+            return (Some(rule), SplitReason::NoRollout);
         };
         let (rule, cause) = match rollout.stage {
             Stage::Canary | Stage::Shifting => {
@@ -108,8 +108,8 @@
             }
             // The endpoints of the old releases have been retired; another that comes
             // later, in an ordinary replacement, is as good as any.
-            Stage::Done => (VersionRule::Any, Cause::Ended),
-            Stage::RolledBack => (not(rollout), Cause::Ended),
+            Stage::Done => (VersionRule::Any, SplitReason::Ended),
+            Stage::RolledBack => (not(rollout), SplitReason::Ended),
         };
         (same_release(rule, turn, rollout), cause)
     }
@@ -121,11 +121,11 @@
         offset: f64,
         rollout: &Rollout,
         situation: &RouterState<'_>,
-    ) -> (VersionRule, Cause) {
+    ) -> (VersionRule, SplitReason) {
         if !situation.others_take_work {
-            return (VersionRule::Any, Cause::NoOther);
+            return (VersionRule::Any, SplitReason::NoOther);
         }
-        let Some(grant) = situation.grant else { return (not(rollout), Cause::NoGrant) };
+        let Some(grant) = situation.grant else { return (not(rollout), SplitReason::NoGrant) };
         let rule = match self.side(turn, route, offset, rollout, grant) {
             Release::New => VersionRule::Only {
                 version: rollout.order.version.clone(),
@@ -133,7 +133,7 @@
             },
             Release::Old => not(rollout),
         };
-        (rule, Cause::Granted)
+        (rule, SplitReason::Granted)
     }
 
     fn side(
--- a/src/rollout/tests/split.rs
+++ b/src/rollout/tests/split.rs
@@ -209,5 +209,5 @@
     let nothing = RouterState { rollout: None, grant: None, others_take_work: true };
     let (rule, cause) =
         TrafficSplitter::default().rule(&mut ReleaseChoice::default(), "chat", 0.5, &nothing);
-    assert_eq!((rule, cause), (Some(VersionRule::Any), Cause::NoRollout));
+    assert_eq!((rule, cause), (Some(VersionRule::Any), SplitReason::NoRollout));
 }
