--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -108,7 +108,7 @@
             return;
         }
         if let Some(number) = self.number_of(|rollout| rollout.order.version == version) {
-            self.turn().failed_at_new(number);
+            self.turn().record_failure_at_new(number);
         }
     }
 
@@ -121,7 +121,7 @@
         let Some(number) = number else { return false };
         let is_refused = matches!(place, Place::TooLate(_));
         let may_leave = !is_refused || self.is_of_a_part(rule);
-        may_leave && self.turn().no_place_at_new(number)
+        may_leave && self.turn().record_no_place_at_new(number)
     }
 
     /// Whether it is of the part that goes to a new release while others go elsewhere.
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -39,12 +39,12 @@
     }
 
     /// The new release failed it: unless all go there, it goes to another.
-    pub fn failed_at_new(&mut self, number: u64) {
+    pub fn record_failure_at_new(&mut self, number: u64) {
         self.drawn = Some((number, Release::Old));
     }
 
     /// The new release has no place for it. Returns whether another may have one.
-    pub fn no_place_at_new(&mut self, number: u64) -> bool {
+    pub fn record_no_place_at_new(&mut self, number: u64) -> bool {
         self.bound.is_none() && self.no_place.replace(number) != Some(number)
     }
 }
--- a/src/rollout/tests/split.rs
+++ b/src/rollout/tests/split.rs
@@ -147,14 +147,14 @@
     let mut world = World::new(Stage::Canary, Some(999));
     let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
-    turn.failed_at_new(1);
+    turn.record_failure_at_new(1);
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
     // Once all go there, it tries another endpoint of the new release.
     world.grant = Some(Grant { permille: 1_000, ..world.grant.unwrap() });
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
-    assert!(turn.no_place_at_new(1));
+    assert!(turn.record_no_place_at_new(1));
     assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
-    assert!(!turn.no_place_at_new(1), "asked there already");
+    assert!(!turn.record_no_place_at_new(1), "asked there already");
 }
 
 #[test]
