--- a/src/control/rollout_controller.rs
+++ b/src/control/rollout_controller.rs
@@ -19,7 +19,7 @@
 use crate::eligibility::order_of;
 use crate::registry::EndpointState;
 use crate::rollout::{
-    ActiveRollout, Decided, Decision, Grants, Progress, Rollout, RolloutEndpoint, Rollouts,
+    ActiveRollout, Decision, Evaluation, Grants, Progress, Rollout, RolloutEndpoint, Rollouts,
     ServiceState, Stage, Step,
 };
 use crate::wire::Role;
@@ -167,10 +167,10 @@
             let around = service_state(control, active.rollout());
             let decided = active.decide(now, &around, &control.settings.rollout);
             let is_grant = matches!(decided.decision, Decision::Grant(_));
-            if is_grant && (decided.is_other_part || self.ticks.is_multiple_of(LOG_EVERY)) {
+            if is_grant && (decided.has_permille_changed || self.ticks.is_multiple_of(LOG_EVERY)) {
                 log_decided(active, &decided);
             }
-            has_changed |= decided.is_other_part;
+            has_changed |= decided.has_permille_changed;
             if let Decision::Step(stage, _) = decided.decision {
                 let step = step(active.rollout(), stage);
                 if self.proposals.is_due(now, &step) {
@@ -244,7 +244,7 @@
     ServiceState { endpoints, routers }
 }
 
-fn log_decided(active: &ActiveRollout, decided: &Decided) {
+fn log_decided(active: &ActiveRollout, decided: &Evaluation) {
     let rollout = active.rollout();
     let (service, version) = (&rollout.order.service, &rollout.order.version);
     let (now, progress) = (&decided.situation, active.progress());
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -19,7 +19,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use active::{ActiveRollout, Decided, Progress, RolloutEndpoint, ServiceState};
+pub use active::{ActiveRollout, Evaluation, Progress, RolloutEndpoint, ServiceState};
 pub use analysis::{CanaryAnalysis, Finding, Window};
 pub use model::{Order, OrderOutcome, Rollout, Rollouts, Stage, Step};
 pub use plan::{Decision, Why, canary_permille, decide};
--- a/src/rollout/active.rs
+++ b/src/rollout/active.rs
@@ -108,13 +108,13 @@
 
 /// What follows, and what it was decided by.
 #[derive(Clone, Debug)]
-pub struct Decided {
+pub struct Evaluation {
     /// What follows.
     pub decision: Decision,
     /// What is granted meanwhile; none grants nothing.
     pub grant: Option<Grant>,
     /// Whether the part granted is another than before.
-    pub is_other_part: bool,
+    pub has_permille_changed: bool,
     /// What is most suspicious of the release.
     pub finding: Finding,
     /// What the decision looked at.
@@ -186,7 +186,12 @@
     }
 
     /// Weighs what came since this was asked last, and says what follows.
-    pub fn decide(&mut self, now: Millis, around: &ServiceState, rules: &RolloutRules) -> Decided {
+    pub fn decide(
+        &mut self,
+        now: Millis,
+        around: &ServiceState,
+        rules: &RolloutRules,
+    ) -> Evaluation {
         let window = Window {
             cold_part: around.cold_part(self.highest_order),
             is_alone: self.permille >= ALONE_PERMILLE,
@@ -213,12 +218,12 @@
         };
         let grant = self.grant(granted, around, situation.elapsed_ms);
         let permille = grant.as_ref().map_or(0, |grant| grant.permille);
-        let is_other_part = permille != self.permille;
-        if is_other_part {
+        let has_permille_changed = permille != self.permille;
+        if has_permille_changed {
             self.part_since = now;
             self.permille = permille;
         }
-        Decided { decision, grant, is_other_part, finding, situation }
+        Evaluation { decision, grant, has_permille_changed, finding, situation }
     }
 
     fn grant(&mut self, permille: u32, around: &ServiceState, elapsed: Millis) -> Option<Grant> {
