--- a/src/control/rollout_controller.rs
+++ b/src/control/rollout_controller.rs
@@ -262,7 +262,7 @@
         now.new_answers,
         progress.permille,
         decided.finding.level,
-        decided.finding.what,
+        decided.finding.description,
         now.new_slots,
         now.old_slots,
         now.is_old_empty,
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -55,7 +55,7 @@
     /// How much of the evidence that reject_at is there: 1 and more is bad.
     pub level: f64,
     /// Where and what.
-    pub what: String,
+    pub description: String,
 }
 
 /// What speaks against a release, growing with each answer that does and falling with
@@ -291,7 +291,7 @@
         self.failing.add(sum, reject_at, window);
         let mut worst = Finding {
             level: self.failing.level(reject_at),
-            what: format!(
+            description: format!(
                 "{} of {} answers fail, {} of {} by old releases",
                 self.new_failed, self.new_answers, self.old_failed, self.old_answers
             ),
@@ -303,7 +303,8 @@
             ];
             for (level, kind) in kinds {
                 if level > worst.level {
-                    worst = Finding { level, what: format!("answers on route {name} {kind}") };
+                    worst =
+                        Finding { level, description: format!("answers on route {name} {kind}") };
                 }
             }
         }
