--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -238,8 +238,8 @@
         tallies.iter().find(|tally| tally.release == release).unwrap().answers.clone()
     };
     let (new, old) = (of(Release::New), of(Release::Old));
-    assert_eq!((new.sent, new.failed, new.took.len()), (1, 1, 0));
-    assert_eq!((old.sent, old.failed, old.took.len()), (1, 0, 1));
+    assert_eq!((new.sent, new.failed, new.first_byte_times.len()), (1, 1, 0));
+    assert_eq!((old.sent, old.failed, old.first_byte_times.len()), (1, 0, 1));
     assert_eq!(report.services[0].open_on_old, 0);
 }
 
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -119,16 +119,21 @@
 
 /// Good answers whose time is known.
 fn good(counts: &AnswerCounts) -> u32 {
-    counts.took.iter().map(|(_, answers)| answers).sum()
+    counts.first_byte_times.iter().map(|(_, answers)| answers).sum()
 }
 
 fn slower_than(counts: &AnswerCounts, limit: u8) -> u32 {
-    counts.took.iter().filter(|(bucket, _)| *bucket > limit).map(|(_, answers)| answers).sum()
+    counts
+        .first_byte_times
+        .iter()
+        .filter(|(bucket, _)| *bucket > limit)
+        .map(|(_, answers)| answers)
+        .sum()
 }
 
 /// The bucket up to which this part of the good answers took.
 fn quantile(counts: &AnswerCounts, part: f64) -> u8 {
-    let mut took = counts.took.clone();
+    let mut took = counts.first_byte_times.clone();
     took.sort_unstable();
     let wanted = f64::from(good(counts)) * part;
     let mut sum = 0.0;
--- a/src/rollout/report.rs
+++ b/src/rollout/report.rs
@@ -79,7 +79,7 @@
     pub answered: i32,
     /// Times to the first byte of those by endpoints that are warm: `(bucket, answers)`,
     /// where the bucket is that of [`AnswerCounts::bucket`].
-    pub took: Vec<(u8, u32)>,
+    pub first_byte_times: Vec<(u8, u32)>,
 }
 
 /// Buckets of times for each doubling: steps of 19 %, well below the factor of two and
@@ -108,20 +108,20 @@
         self.sent += other.sent;
         self.failed += other.failed;
         self.answered += other.answered;
-        for (bucket, answers) in &other.took {
+        for (bucket, answers) in &other.first_byte_times {
             self.add_times(*bucket, *answers);
         }
     }
 
     fn add_times(&mut self, bucket: u8, answers: u32) {
-        match self.took.iter_mut().find(|(known, _)| *known == bucket) {
+        match self.first_byte_times.iter_mut().find(|(known, _)| *known == bucket) {
             Some((_, known)) => *known += answers,
-            None => self.took.push((bucket, answers)),
+            None => self.first_byte_times.push((bucket, answers)),
         }
     }
 
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
-        self.sent == 0 && self.failed == 0 && self.answered == 0 && self.took.is_empty()
+        self.sent == 0 && self.failed == 0 && self.answered == 0 && self.first_byte_times.is_empty()
     }
 }
--- a/src/rollout/tests/analysis.rs
+++ b/src/rollout/tests/analysis.rs
@@ -57,7 +57,7 @@
                 routes.entry(name).or_default()[side].merge(&tally.answers);
             }
         }
-        let good = |c: &AnswerCounts| c.took.iter().map(|(_, n)| n).sum::<u32>();
+        let good = |c: &AnswerCounts| c.first_byte_times.iter().map(|(_, n)| n).sum::<u32>();
         routes.iter().any(|(name, [old, new])| {
             let (of_old, of_new) = (good(old) + old.failed, good(new) + new.failed);
             if of_new < Self::LEAST_ANSWERS || of_old == 0 {
@@ -65,7 +65,7 @@
             }
             let part = |bad: u32, all: u32| f64::from(bad) / f64::from(all.max(1));
             let fails = part(new.failed, of_new) > part(old.failed, of_old) + Self::FAILING;
-            let mut took = old.took.clone();
+            let mut took = old.first_byte_times.clone();
             took.sort_unstable();
             let mut sum = 0;
             let upper = took.iter().find(|(_, n)| {
@@ -74,7 +74,11 @@
             });
             let limit = upper.map_or(0, |(bucket, _)| bucket + 3);
             let slow = |c: &AnswerCounts| {
-                c.took.iter().filter(|(bucket, _)| *bucket > limit).map(|(_, n)| n).sum::<u32>()
+                c.first_byte_times
+                    .iter()
+                    .filter(|(bucket, _)| *bucket > limit)
+                    .map(|(_, n)| n)
+                    .sum::<u32>()
             };
             let is_slow = *name != "all"
                 && part(slow(new), good(new)) > part(slow(old), good(old)) + Self::SLOW;
--- a/src/rollout/tests/tally.rs
+++ b/src/rollout/tests/tally.rs
@@ -28,7 +28,7 @@
     let of = |release| &tallies.iter().find(|t| t.release == release).unwrap().answers;
     assert_eq!((of(Release::New).sent, of(Release::New).failed), (3, 0));
     let took = [(AnswerCounts::bucket(100.0), 2), (AnswerCounts::bucket(900.0), 1)];
-    assert_eq!(of(Release::New).took, took);
+    assert_eq!(of(Release::New).first_byte_times, took);
     assert_eq!((of(Release::Old).sent, of(Release::Old).failed), (1, 1));
     assert!(tally.take_report(&under_way()).services[0].tallies.is_empty());
 }
@@ -42,7 +42,7 @@
     tally.record_truncated(&new);
     let answers = tally.take_report(&under_way()).services.remove(0).tallies.remove(0).answers;
     assert_eq!((answers.answered, answers.failed, answers.ended()), (1, 1, 2));
-    assert_eq!(answers.took.len(), 1);
+    assert_eq!(answers.first_byte_times.len(), 1);
     // One that began before the last report breaks off.
     tally.record_truncated(&new);
     let later = tally.take_report(&under_way()).services.remove(0).tallies.remove(0).answers;
@@ -64,7 +64,10 @@
     let report = tally.take_report(&under_way());
     assert_eq!(report.services[0].tallies.len(), 1);
     assert_eq!(report.services[0].tallies[0].answers.sent, 1_000);
-    assert_eq!(report.services[0].tallies[0].answers.took, [(AnswerCounts::bucket(100.0), 1_000)]);
+    assert_eq!(
+        report.services[0].tallies[0].answers.first_byte_times,
+        [(AnswerCounts::bucket(100.0), 1_000)]
+    );
 }
 
 #[test]
