--- a/src/control.rs
+++ b/src/control.rs
@@ -35,7 +35,7 @@
 use crate::quarantine::SharedQuarantine;
 use crate::registry::{SharedRegistry, saved};
 use crate::rollout::{Progress, SharedRollouts};
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
 use crate::spread::{self, Configs};
 use crate::store::{Disk, Found};
@@ -64,7 +64,7 @@
     /// The newest accepted configuration, as this host knows it.
     pub configs: Arc<Configs>,
     /// The routing in force, as this host knows it.
-    pub documents: Arc<Documents>,
+    pub documents: Arc<CurrentRouting>,
     /// Endpoints that registered themselves here or elsewhere.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
--- a/src/control/tests/folder.rs
+++ b/src/control/tests/folder.rs
@@ -11,7 +11,7 @@
 use crate::error::{Error, Result};
 use crate::feed::Followed;
 use crate::registry::SharedRegistry;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
 use crate::spread::Configs;
 use crate::store::Disk;
@@ -51,7 +51,7 @@
 
 struct Started {
     configs: Arc<Configs>,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     task: tokio::task::JoinHandle<Result<()>>,
     _handle: crate::control::Handle,
@@ -68,7 +68,7 @@
     Ok(Started { configs, documents, registry, task, _handle })
 }
 
-fn version(documents: &Documents) -> u64 {
+fn version(documents: &CurrentRouting) -> u64 {
     documents.current().map_or(0, |routing| routing.table.version)
 }
 
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -27,7 +27,7 @@
 use crate::quarantine::{CrashReport, QuarantineNews, SharedQuarantine};
 use crate::registry::{DrainedHalls, EndpointStart, Registration, Scope, SharedRegistry};
 use crate::rollout::{Grants, Report, Rollouts, SharedRollouts};
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::wire::HostId;
 
 pub use followers::Followers;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Followed {
     /// The routing in force.
-    pub documents: Arc<Documents>,
+    pub documents: Arc<CurrentRouting>,
     /// The endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
--- a/src/feed/tests/connection.rs
+++ b/src/feed/tests/connection.rs
@@ -7,14 +7,18 @@
 use super::super::{FeedMessage, Followed, Subscriptions, publish};
 use crate::peer::{Incoming, Peers};
 use crate::registry::{EndpointState, Hearing, Registration, Scope, SharedRegistry};
-use crate::routing::{Documents, RoutingTable};
+use crate::routing::{CurrentRouting, RoutingTable};
 use crate::testing::{
     peer_address as address, publication_of_leader, route, start_peers as start, wait_until,
 };
 use crate::wire::{HostId, Open, Role, Traffic, write_frame};
 
 /// Publishes to whoever subscribes, as a control host that leads and knows no endpoint.
-async fn serve(peers: Arc<Peers>, incoming: mpsc::Receiver<Incoming>, documents: Arc<Documents>) {
+async fn serve(
+    peers: Arc<Peers>,
+    incoming: mpsc::Receiver<Incoming>,
+    documents: Arc<CurrentRouting>,
+) {
     serve_endpoints(peers, incoming, documents, Arc::default()).await;
 }
 
@@ -22,7 +26,7 @@
 async fn serve_endpoints(
     peers: Arc<Peers>,
     mut incoming: mpsc::Receiver<Incoming>,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
 ) {
     while let Some(Incoming { open, reader, writer }) = incoming.recv().await {
@@ -37,23 +41,23 @@
 }
 
 /// A control host that publishes, a router that follows it, and the routing of each.
-async fn fleet(first: u8) -> ([Arc<Peers>; 2], [Arc<Documents>; 2], Arc<Subscriptions>) {
+async fn fleet(first: u8) -> ([Arc<Peers>; 2], [Arc<CurrentRouting>; 2], Arc<Subscriptions>) {
     let (control, incoming) = start(Role::Control, first, vec![]).await;
-    let published = Arc::new(Documents::default());
+    let published = Arc::new(CurrentRouting::default());
     tokio::spawn(serve(control.clone(), incoming, published.clone()));
     let (router, _) = start(Role::Router, first + 1, vec![address(first)]).await;
-    let followed = Arc::new(Documents::default());
+    let followed = Arc::new(CurrentRouting::default());
     let feeds = Subscriptions::start(router.clone(), following(&followed), "a", Role::Router);
     published.adopt_table(table(1));
     wait_until(|| version(&followed) == 1).await;
     ([control, router], [published, followed], feeds)
 }
 
-fn following(documents: &Arc<Documents>) -> Followed {
+fn following(documents: &Arc<CurrentRouting>) -> Followed {
     Followed { documents: documents.clone(), ..Followed::default() }
 }
 
-fn version(documents: &Documents) -> u64 {
+fn version(documents: &CurrentRouting) -> u64 {
     documents.current().map_or(0, |routing| routing.table.version)
 }
 
@@ -82,14 +86,14 @@
 #[tokio::test]
 async fn a_large_table_is_sent_to_a_router_once() {
     let controls = [start(Role::Control, 11, vec![]).await, start(Role::Control, 12, vec![]).await];
-    let published = [Arc::new(Documents::default()), Arc::new(Documents::default())];
+    let published = [Arc::new(CurrentRouting::default()), Arc::new(CurrentRouting::default())];
     let mut hosts = Vec::new();
     for ((control, incoming), documents) in controls.into_iter().zip(&published) {
         tokio::spawn(serve(control.clone(), incoming, documents.clone()));
         hosts.push(control);
     }
     let (router, _) = start(Role::Router, 13, vec![address(11), address(12)]).await;
-    let followed = Arc::new(Documents::default());
+    let followed = Arc::new(CurrentRouting::default());
     let feeds = Subscriptions::start(router, following(&followed), "a", Role::Router);
     wait_until(|| feeds.open_feeds() == 2).await;
     let weight = postcard::to_stdvec(&large_table(1)).unwrap().len() as u64;
@@ -110,12 +114,12 @@
 async fn a_table_is_had_from_the_host_that_is_left() {
     let (first, first_incoming) = start(Role::Control, 21, vec![]).await;
     let (second, second_incoming) = start(Role::Control, 22, vec![]).await;
-    let documents = [Arc::new(Documents::default()), Arc::new(Documents::default())];
+    let documents = [Arc::new(CurrentRouting::default()), Arc::new(CurrentRouting::default())];
     // The first announces versions and never sends a table.
     tokio::spawn(announce(first_incoming, 3));
     tokio::spawn(serve(second, second_incoming, documents[1].clone()));
     let (router, _) = start(Role::Router, 23, vec![address(21), address(22)]).await;
-    let followed = Arc::new(Documents::default());
+    let followed = Arc::new(CurrentRouting::default());
     let feeds = Subscriptions::start(router, following(&followed), "a", Role::Router);
     wait_until(|| feeds.open_feeds() == 2).await;
     documents[1].adopt_table(table(2));
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -23,7 +23,7 @@
 use crate::quarantine::{Guard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::settings::{GatewaySettings, RouterSettings};
 use crate::telemetry::GatewayMetrics;
 use crate::wire::Role;
@@ -37,7 +37,7 @@
     /// The other hosts.
     pub peers: Arc<Peers>,
     /// The routing in force.
-    pub documents: Arc<Documents>,
+    pub documents: Arc<CurrentRouting>,
     /// The endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
@@ -79,7 +79,7 @@
         dialect: Arc<Dialect>,
         stop: CancellationToken,
     ) -> Arc<Gateway> {
-        let documents = Arc::new(Documents::default());
+        let documents = Arc::new(CurrentRouting::default());
         let registry = Arc::new(SharedRegistry::default());
         let rollouts = Arc::new(SharedRollouts::default());
         let hall = settings.host.hall.clone();
--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::region::Regions;
 use crate::registry::SharedRegistry;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::wire::HostId;
 
 /// How much more than an equal part of the engines a router takes alone.
@@ -24,7 +24,7 @@
 pub struct LocalPlacer {
     me: HostId,
     clock: Clock,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Mutex<Placer>,
@@ -35,7 +35,7 @@
     pub fn new(
         me: HostId,
         clock: Clock,
-        documents: Arc<Documents>,
+        documents: Arc<CurrentRouting>,
         registry: Arc<SharedRegistry>,
         regions: Regions,
     ) -> LocalPlacer {
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -19,7 +19,7 @@
 use crate::peer::PeerReader;
 use crate::region::Regions;
 use crate::registry::SharedRegistry;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::wire::{BatchSender, BatchWriter, HostId, SentBytes};
 
 /// How often the engines are looked up even where no change was told.
@@ -48,7 +48,7 @@
     rules: PlacementRules,
     clock: Clock,
     leads: impl Fn() -> Option<u64> + Send + 'static,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     sent: SentBytes,
@@ -98,7 +98,7 @@
 
 struct Task {
     clock: Clock,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Placer,
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -13,7 +13,7 @@
 use crate::loop_lag::LoopLag;
 use crate::peer::{Incoming, Peers};
 use crate::registry::SharedRegistry;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::testing::{peer_address, publication_of_leader, start_peers, wait_until};
 use crate::wire::{Open, Role, write_frame};
 
@@ -89,7 +89,7 @@
     };
     tokio::spawn(host.clone().serve(incoming));
     let (router, _) = start_peers(Role::Router, first + 1, vec![peer_address(first)]).await;
-    let documents = Arc::new(Documents::default());
+    let documents = Arc::new(CurrentRouting::default());
     let registry = Arc::new(SharedRegistry::default());
     let followed = Followed {
         documents: documents.clone(),
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use documents::{Documents, Routing};
+pub use documents::{CurrentRouting, Routing};
 pub use model::{
     CustomerKeys, Document, Engine, Limits, Route, RouteKind, RoutingTable, ServicePool, Target,
 };
--- a/src/routing/documents.rs
+++ b/src/routing/documents.rs
@@ -111,17 +111,17 @@
 
 /// The routing in force, which only ever moves to a higher version.
 #[derive(Debug)]
-pub struct Documents {
+pub struct CurrentRouting {
     current: watch::Sender<Option<Arc<Routing>>>,
 }
 
-impl Default for Documents {
+impl Default for CurrentRouting {
     fn default() -> Self {
-        Documents { current: watch::Sender::new(None) }
+        CurrentRouting { current: watch::Sender::new(None) }
     }
 }
 
-impl Documents {
+impl CurrentRouting {
     /// What is in force; none before the first document.
     pub fn current(&self) -> Option<Arc<Routing>> {
         self.current.borrow().clone()
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn an_older_document_never_replaces_a_newer_one() {
-    let documents = Documents::default();
+    let documents = CurrentRouting::default();
     assert!(documents.current().is_none());
     documents.adopt_table(table(5, vec![]));
     documents.adopt_table(table(4, vec![route("a", "x", "/")]));
@@ -75,7 +75,7 @@
 #[test]
 fn an_encoded_table_comes_into_force_if_it_is_newer() {
     let sent = Routing::new(table(5, vec![route("a", "x", "/p/")]));
-    let documents = Documents::default();
+    let documents = CurrentRouting::default();
     documents.adopt_encoded(5, &sent.encoded()).unwrap();
     assert_eq!(documents.current().unwrap().table, sent.table);
     // Who has the version does not look at the bytes again.
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -13,7 +13,7 @@
 use crate::peer::{Incoming, Peers};
 use crate::region::AllowedRegions;
 use crate::registry::SharedRegistry;
-use crate::routing::{Documents, Route, RouteKind, Target};
+use crate::routing::{CurrentRouting, Route, RouteKind, Target};
 use crate::settings::{HeartbeatScope, HostSettings};
 use crate::wire::{HostId, Role};
 
@@ -53,7 +53,7 @@
 /// What a control host publishes that leads: this routing and these endpoints.
 pub fn publication_of_leader(
     peers: &Peers,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
 ) -> Publication {
     let leads = Leadership {
