--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -93,7 +93,7 @@
     if !routing.needs_keys() {
         return Ok(None);
     }
-    let customer = head.key.as_deref().and_then(|key| routing.customer(key));
+    let customer = head.key.as_deref().and_then(|key| routing.customer_by_key(key));
     match customer {
         Some(customer) => Ok(Some(customer)),
         None if route.public => Ok(None),
--- a/src/routing/documents.rs
+++ b/src/routing/documents.rs
@@ -65,7 +65,7 @@
     }
 
     /// The customer that holds `key`.
-    pub fn customer(&self, key: &str) -> Option<&CustomerKeys> {
+    pub fn customer_by_key(&self, key: &str) -> Option<&CustomerKeys> {
         self.by_key.get(key).map(|at| &self.table.customers[*at])
     }
 
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -55,7 +55,7 @@
     assert_eq!(shared.check().unwrap_err().field, "customers.b.keys");
     shared.customers[1].keys = vec!["k3".into()];
     assert!(shared.check().is_ok());
-    assert_eq!(Routing::new(shared).customer("k3").unwrap().name, "b");
+    assert_eq!(Routing::new(shared).customer_by_key("k3").unwrap().name, "b");
 }
 
 #[test]
