--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -103,17 +103,17 @@
     }
 
     /// The leader grants anew.
-    pub fn offer(&self, grants: Grants) {
+    pub fn publish_grants(&self, grants: Grants) {
         self.offered.send_replace(grants);
     }
 
     /// What the leader grants, each time that it does.
-    pub fn watch_offers(&self) -> watch::Receiver<Grants> {
+    pub fn watch_grants(&self) -> watch::Receiver<Grants> {
         self.offered.subscribe()
     }
 
     /// A router reported to this host.
-    pub fn reported(&self, router: HostId, report: Report) {
+    pub fn record_report(&self, router: HostId, report: Report) {
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
         reports.push_back((router, report));
         if reports.len() > MOST_REPORTS {
