--- a/benches/placer.rs
+++ b/benches/placer.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bramblecrank::placement::{
-    Ending, EngineInfo, FromPlacer, PlacementRequest, PlacementRules, Placer, ToPlacer,
+    Completion, EngineInfo, FromPlacer, PlacementRequest, PlacementRules, Placer, ToPlacer,
 };
 use bramblecrank::wire::HostId;
 
@@ -105,7 +105,7 @@
             self.begun.push_back((at + ENDS_MS, seq));
         }
         while let Some((_, seq)) = self.begun.pop_front_if(|(at, _)| *at <= now) {
-            let done = ToPlacer::Done { seq, ending: Ending::Served };
+            let done = ToPlacer::Done { seq, completion: Completion::Served };
             self.placer.receive(now, Self::router(seq), done);
         }
         let request = request(self.seq, self.customers);
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -17,7 +17,7 @@
 use super::request::Call;
 use super::state::Ticket;
 use super::stream;
-use crate::placement::{Ending, Reservation};
+use crate::placement::{Completion, Reservation};
 use crate::registry::Registration;
 use crate::routing::RouteKind;
 
@@ -138,7 +138,7 @@
     let tokens = call.prompt_tokens();
     let observed = Observed::new(call, endpoint);
     let mut ticket = Ticket::new(&call.gateway, endpoint, tokens, reservation, observed);
-    ticket.set_ending(Ending::Failed);
+    ticket.set_ending(Completion::Failed);
     let request = request_for(call, endpoint, ticket.copy_from(), after_event);
     match head_of_answer(call, endpoint, address, request, &mut ticket).await {
         Ok((response, connection)) => Ok(Opened { response, connection, ticket }),
@@ -163,9 +163,9 @@
         Ok(Ok((response, connection))) => {
             let rests = call.take_notice(endpoint, &response);
             if response.status() == StatusCode::MISDIRECTED_REQUEST {
-                ticket.set_ending(Ending::Replaced);
+                ticket.set_ending(Completion::Replaced);
             } else if rests {
-                ticket.set_ending(Ending::Abandoned);
+                ticket.set_ending(Completion::Abandoned);
             }
             check_head(call, endpoint, &response, rests)?;
             call.answered_by(ticket);
@@ -177,7 +177,7 @@
                 call.number,
                 endpoint.id
             );
-            ticket.set_ending(Ending::Abandoned);
+            ticket.set_ending(Completion::Abandoned);
             Err(Attempt::NotSent)
         }
         Ok(Err(SendError::NotSent(why))) => {
@@ -262,7 +262,7 @@
     let Opened { response, connection, mut ticket } = opened;
     let attempt = whole(call, endpoint, response, connection, &ticket).await;
     if matches!(attempt, Attempt::Answered(_)) {
-        ticket.set_ending(Ending::Served);
+        ticket.set_ending(Completion::Served);
     }
     ticket.observed.note(&attempt);
     attempt
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -19,7 +19,7 @@
 use crate::feed::{Followed, Subscriptions};
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
-use crate::placement::{Ending, LocalPlacer, Placements, Reservation};
+use crate::placement::{Completion, LocalPlacer, Placements, Reservation};
 use crate::quarantine::{Guard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
@@ -338,9 +338,9 @@
     }
 
     /// Says how the request ended.
-    pub fn set_ending(&mut self, ending: Ending) {
+    pub fn set_ending(&mut self, ending: Completion) {
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_ending(ending);
+            reservation.set_completion(ending);
         }
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -16,7 +16,7 @@
 use super::placing::Place;
 use super::request::Call;
 use super::state::Ticket;
-use crate::placement::Ending;
+use crate::placement::Completion;
 
 /// A stream under way. Dropping it closes the endpoint's connection, which ends
 /// the run there.
@@ -47,7 +47,7 @@
 /// The answer for the caller: the endpoint's head, and its events as they come.
 pub(super) fn relay(call: &Arc<Call>, opened: Opened) -> Response<Body> {
     let Opened { response, connection, mut ticket } = opened;
-    ticket.set_ending(Ending::Abandoned);
+    ticket.set_ending(Completion::Abandoned);
     let (mut head, incoming) = response.into_parts();
     strip_connection_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
@@ -107,7 +107,7 @@
     /// The stream came to its end.
     fn finish(&mut self) -> Option<Bytes> {
         if let Some(mut source) = self.source.take() {
-            source.ticket.set_ending(Ending::Served);
+            source.ticket.set_ending(Completion::Served);
             self.call.served();
             self.call.gateway.connections.keep(&source.ticket.endpoint, source.connection);
         }
@@ -122,7 +122,7 @@
         let call = self.call.clone();
         let ticket = &broken.ticket;
         call.gateway.note_failure(&ticket.endpoint, ticket.started_at_ms, Failure::Failed);
-        broken.ticket.set_ending(Ending::Failed);
+        broken.ticket.set_ending(Completion::Failed);
         broken.ticket.observed.failed();
         drop(broken);
         let Some(splitter) = &mut self.splitter else { return Err(BrokenOff::Endpoint) };
@@ -149,7 +149,7 @@
             return Err(BrokenOff::Endpoint);
         }
         call.gateway.metrics.resumed.with_label_values(&[&call.service]).inc();
-        ticket.set_ending(Ending::Abandoned);
+        ticket.set_ending(Completion::Abandoned);
         self.source = Some(Source { incoming: response.into_body(), connection, ticket });
         Ok(())
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -39,8 +39,8 @@
 pub use knowledge::StartOf;
 pub use local::LocalPlacer;
 pub use message::{
-    Ending, FromPlacer, KeptParts, Knowledge, OpenRequest, PlacementRequest, PromptParts, Refusal,
-    RestTold, ToPlacer,
+    Completion, FromPlacer, KeptParts, Knowledge, OpenRequest, PlacementRequest, PromptParts,
+    Refusal, RestTold, ToPlacer,
 };
 pub use placer::{Decision, Placer};
 pub use rules::PlacementRules;
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -14,7 +14,7 @@
 
 use super::knowledge::{Memory, StartOf, Told};
 use super::local::LocalPlacer;
-use super::message::{Ending, FromPlacer, PlacementRequest, Refusal, RestTold, ToPlacer};
+use super::message::{Completion, FromPlacer, PlacementRequest, Refusal, RestTold, ToPlacer};
 use super::unanswered::Unanswered;
 use crate::dispatch::Millis;
 use crate::feed::Subscriptions;
@@ -139,9 +139,9 @@
                 lock(&self.memory).placed(request, at, by);
                 let placements = self.clone();
                 let seq = request.seq;
-                let ending = Ending::Abandoned;
+                let completion = Completion::Abandoned;
                 let begun = false;
-                Placed::At(Reservation { endpoint, copy_from, seq, placements, ending, begun })
+                Placed::At(Reservation { endpoint, copy_from, seq, placements, completion, begun })
             }
             FromPlacer::Refuse { refusal, .. } => Placed::Refused(refusal),
             FromPlacer::Unknown { .. } => Placed::Alone,
--- a/src/placement/client/reservation.rs
+++ b/src/placement/client/reservation.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Placements, lock};
-use crate::placement::message::{Ending, ToPlacer};
+use crate::placement::message::{Completion, ToPlacer};
 
 /// A place at an endpoint, given back when dropped.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     pub copy_from: Option<String>,
     pub(super) seq: u64,
     pub(super) placements: Arc<Placements>,
-    pub(super) ending: Ending,
+    pub(super) completion: Completion,
     pub(super) begun: bool,
 }
 
@@ -28,14 +28,14 @@
     }
 
     /// Says how the request ended; otherwise it counts as abandoned.
-    pub fn set_ending(&mut self, ending: Ending) {
-        self.ending = ending;
+    pub fn set_completion(&mut self, completion: Completion) {
+        self.completion = completion;
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
         let told = lock(&self.placements.memory).ended(self.seq);
-        self.placements.tell(&told, &ToPlacer::Done { seq: self.seq, ending: self.ending });
+        self.placements.tell(&told, &ToPlacer::Done { seq: self.seq, completion: self.completion });
     }
 }
--- a/src/placement/client/session.rs
+++ b/src/placement/client/session.rs
@@ -11,7 +11,7 @@
 
 use super::{Placements, lock};
 use crate::error::{Error, Result};
-use crate::placement::message::{Ending, FromPlacer, PlacementRequest, ToPlacer};
+use crate::placement::message::{Completion, FromPlacer, PlacementRequest, ToPlacer};
 use crate::wire::{BatchSender, BatchWriter, HostId, Open, Traffic};
 
 /// How long to wait before a lost session is opened again.
@@ -53,7 +53,7 @@
     fn drop(&mut self) {
         lock(&self.session.waiting).remove(&self.seq);
         if self.is_open {
-            let done = ToPlacer::Done { seq: self.seq, ending: Ending::Abandoned };
+            let done = ToPlacer::Done { seq: self.seq, completion: Completion::Abandoned };
             // A session that has closed has given everything back.
             let _ = self.session.out.send(done.into());
         }
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -40,7 +40,7 @@
 
 /// How a placed request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum Completion {
     /// The endpoint answered it.
     Served,
     /// The endpoint could not be reached, failed or broke off.
@@ -124,7 +124,7 @@
         /// The request's number.
         seq: u64,
         /// How.
-        ending: Ending,
+        completion: Completion,
     },
 }
 
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -9,7 +9,7 @@
 use super::engine::{Observation, RequestKey, reading_units};
 use super::engines::EngineInfo;
 use super::message::{
-    Ending, FromPlacer, Knowledge, PlacementRequest, Refusal, RestTold, ToPlacer,
+    Completion, FromPlacer, Knowledge, PlacementRequest, Refusal, RestTold, ToPlacer,
 };
 use super::parts::{EngineNumber, Match, PartIndex};
 use super::pauses::LONG_READING_UNITS;
@@ -164,7 +164,7 @@
             ToPlacer::Rest(rest) => self.rest(now, router, &rest),
             ToPlacer::Place(request) => return Some(self.place(now, router, request)),
             ToPlacer::Begun { seq } => self.begun(now, (router, seq)),
-            ToPlacer::Done { seq, ending } => self.done(now, (router, seq), ending),
+            ToPlacer::Done { seq, completion } => self.done(now, (router, seq), completion),
         }
         None
     }
@@ -267,14 +267,14 @@
         pace.told
     }
 
-    fn done(&mut self, now: Millis, key: RequestKey, ending: Ending) {
+    fn done(&mut self, now: Millis, key: RequestKey, completion: Completion) {
         let Some(number) = self.placed.remove(&key) else { return };
         let engine = &mut self.engines[number];
-        match ending {
-            Ending::Failed => engine.model.failed(now),
-            Ending::Replaced => engine.is_gone = true,
-            Ending::Served => engine.rests.served(now, key.0),
-            Ending::Abandoned => {}
+        match completion {
+            Completion::Failed => engine.model.failed(now),
+            Completion::Replaced => engine.is_gone = true,
+            Completion::Served => engine.rests.served(now, key.0),
+            Completion::Abandoned => {}
         }
         engine.rests.ended(key.0);
         engine.model.ended(now, key);
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -85,7 +85,7 @@
 
 fn serve(placer: &mut Placer, now: u64, seq: u64) {
     placer.receive(now, ROUTER, ToPlacer::Begun { seq });
-    placer.receive(now, ROUTER, ToPlacer::Done { seq, ending: Ending::Served });
+    placer.receive(now, ROUTER, ToPlacer::Done { seq, completion: Completion::Served });
 }
 
 #[test]
@@ -200,10 +200,10 @@
 fn an_engine_that_fails_is_left_out_for_a_while() {
     let mut placer = placer(&["a", "b"]);
     let home = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
-    placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, ending: Ending::Failed });
+    placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Failed });
     let again = request(2, "x", 7, 500);
     place(&mut placer, 1, PlacementRequest { avoid: other_than(&home), ..again });
-    placer.receive(2, ROUTER, ToPlacer::Done { seq: 2, ending: Ending::Failed });
+    placer.receive(2, ROUTER, ToPlacer::Done { seq: 2, completion: Completion::Failed });
     assert_ne!(endpoint(place(&mut placer, 3, request(3, "x", 7, 500))), home);
 }
 
@@ -313,8 +313,8 @@
                     placer.receive(now, ROUTER, ToPlacer::Begun { seq: seq.into() });
                 }
                 Step::Done(seq, failed) => {
-                    let ending = if failed { Ending::Failed } else { Ending::Served };
-                    placer.receive(now, ROUTER, ToPlacer::Done { seq: seq.into(), ending });
+                    let completion = if failed { Completion::Failed } else { Completion::Served };
+                    placer.receive(now, ROUTER, ToPlacer::Done { seq: seq.into(), completion });
                 }
                 Step::Wait(ms) => now += u64::from(ms),
                 Step::Lost => placer.lost(now, ROUTER),
@@ -363,7 +363,7 @@
     // Both are told how it ends, and hearing it twice changes nothing.
     second.receive(0, ROUTER, ToPlacer::Known(knowledge));
     assert_eq!(memory.ended(2), [Told::Host(HostId(8)), Told::Host(HostId(9))]);
-    second.receive(1, ROUTER, ToPlacer::Done { seq: 2, ending: Ending::Served });
+    second.receive(1, ROUTER, ToPlacer::Done { seq: 2, completion: Completion::Served });
     let after = PlacementRequest { objective_ms: 60_000, ..request(5, "x", 12, 500) };
     decide(&mut second, 1, after);
 }
--- a/src/placement/tests/pauses.rs
+++ b/src/placement/tests/pauses.rs
@@ -108,7 +108,7 @@
                 placer.receive(at, ROUTER, ToPlacer::Begun { seq });
             } else {
                 self.streams.remove(&seq);
-                placer.receive(at, ROUTER, ToPlacer::Done { seq, ending: Ending::Served });
+                placer.receive(at, ROUTER, ToPlacer::Done { seq, completion: Completion::Served });
             }
         }
     }
--- a/src/placement/tests/queue.rs
+++ b/src/placement/tests/queue.rs
@@ -101,7 +101,7 @@
 fn an_engine_whose_address_another_has_gets_nothing_more() {
     let mut placer = placer(&["a", "b"]);
     let gone = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
-    placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, ending: Ending::Replaced });
+    placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Replaced });
     for seq in 2..6 {
         let now = seq * 20_000;
         assert_ne!(endpoint(place(&mut placer, now, request(seq, "x", 7, 500))), gone);
--- a/src/placement/tests/restarts.rs
+++ b/src/placement/tests/restarts.rs
@@ -41,7 +41,7 @@
     assert_eq!(after.backlog_ms, 0.0);
     // The routers say so later, and of the new start that says nothing.
     for seq in 1..5 {
-        placer.receive(20, ROUTER, ToPlacer::Done { seq, ending: Ending::Failed });
+        placer.receive(20, ROUTER, ToPlacer::Done { seq, completion: Completion::Failed });
     }
     serve(&mut placer, 400, 9);
     endpoint(place(&mut placer, 400, request(10, "x", 10, 500)));
@@ -51,7 +51,7 @@
 fn a_new_start_is_used_though_another_endpoint_had_the_earlier_ones_address() {
     let mut placer = placer_of(vec![started("a", 1)]);
     place(&mut placer, 0, request(1, "x", 1, 500));
-    placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, ending: Ending::Replaced });
+    placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Replaced });
     let gone = place(&mut placer, 2, request(2, "x", 2, 500));
     assert!(matches!(gone, FromPlacer::Unknown { .. }), "{gone:?}");
     placer.set_engines(10, vec![started("a", 2)]);
--- a/src/placement/tests/rests.rs
+++ b/src/placement/tests/rests.rs
@@ -72,7 +72,7 @@
     asked(&mut placer, 0, ROUTER, rest("a", 100));
     assert_eq!(endpoint(place_for(&mut placer, 101, ROUTER, 1)), "a");
     asked(&mut placer, 110, ROUTER, rest("a", 100));
-    placer.receive(110, ROUTER, ToPlacer::Done { seq: 1, ending: Ending::Abandoned });
+    placer.receive(110, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Abandoned });
     assert!(matches!(place_for(&mut placer, 150, ROUTER, 2), FromPlacer::Unknown { .. }));
     assert_eq!(endpoint(place_for(&mut placer, 211, ROUTER, 3)), "a");
 }
