--- a/src/placement.rs
+++ b/src/placement.rs
@@ -36,7 +36,7 @@
 pub use client::{Placed, Placements, Reservation};
 pub use distance::Distances;
 pub use engines::EngineInfo;
-pub use knowledge::StartOf;
+pub use knowledge::EndpointStartRef;
 pub use local::LocalPlacer;
 pub use message::{
     Completion, FromPlacer, KeptParts, Knowledge, OpenRequest, PlacementRequest, PromptParts,
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -12,7 +12,7 @@
 
 use tokio::task::JoinHandle;
 
-use super::knowledge::{Memory, StartOf, Told};
+use super::knowledge::{EndpointStartRef, Memory, Told};
 use super::local::LocalPlacer;
 use super::message::{Completion, FromPlacer, PlacementRequest, Refusal, RestTold, ToPlacer};
 use super::unanswered::Unanswered;
@@ -135,7 +135,7 @@
     ) -> Placed {
         match answer {
             FromPlacer::Go { endpoint, started_at_ms, copy_from, .. } => {
-                let at = StartOf { endpoint: &endpoint, started_at_ms };
+                let at = EndpointStartRef { endpoint: &endpoint, started_at_ms };
                 lock(&self.memory).placed(request, at, by);
                 let placements = self.clone();
                 let seq = request.seq;
@@ -150,7 +150,7 @@
 
     /// An engine asked this router for so many milliseconds of rest: the placer that is
     /// asked must know, and any that is asked later.
-    pub fn rest(&self, at: StartOf<'_>, time: Millis) {
+    pub fn rest(&self, at: EndpointStartRef<'_>, time: Millis) {
         lock(&self.memory).rested(self.peers.clock.now(), at, time);
         let mut told = vec![Told::Local];
         told.extend(lock(&self.informed).map(Told::Host));
--- a/src/placement/knowledge.rs
+++ b/src/placement/knowledge.rs
@@ -33,7 +33,7 @@
 
 /// One start of an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct StartOf<'a> {
+pub struct EndpointStartRef<'a> {
     /// The endpoint's id.
     pub endpoint: &'a str,
     /// When it started.
@@ -59,7 +59,7 @@
 
 impl Memory {
     /// A request was placed at an endpoint.
-    pub fn placed(&mut self, request: &PlacementRequest, at: StartOf<'_>, by: Told) {
+    pub fn placed(&mut self, request: &PlacementRequest, at: EndpointStartRef<'_>, by: Told) {
         let open = OpenRequest {
             seq: request.seq,
             endpoint: at.endpoint.to_string(),
@@ -108,11 +108,11 @@
     }
 
     /// An engine asked for so many milliseconds of rest.
-    pub fn rested(&mut self, now: Millis, at: StartOf<'_>, time: Millis) {
+    pub fn rested(&mut self, now: Millis, at: EndpointStartRef<'_>, time: Millis) {
         self.rests.retain(|_, rest| rest.until > now);
         if self.rests.len() < MOST_RESTS {
             let until = now.saturating_add(time);
-            let StartOf { endpoint, started_at_ms } = at;
+            let EndpointStartRef { endpoint, started_at_ms } = at;
             self.rests.insert(endpoint.to_string(), Resting { started_at_ms, until });
         }
     }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -14,7 +14,7 @@
 
 use proptest::prelude::*;
 
-use super::knowledge::{Memory, StartOf, Told};
+use super::knowledge::{EndpointStartRef, Memory, Told};
 use super::parts::{Match, PartIndex};
 use super::shares::{Shares, WINDOW_MS};
 use super::*;
@@ -79,8 +79,8 @@
     }
 }
 
-fn at(endpoint: &str) -> StartOf<'_> {
-    StartOf { endpoint, started_at_ms: 0 }
+fn at(endpoint: &str) -> EndpointStartRef<'_> {
+    EndpointStartRef { endpoint, started_at_ms: 0 }
 }
 
 fn serve(placer: &mut Placer, now: u64, seq: u64) {
--- a/src/placement/tests/pauses.rs
+++ b/src/placement/tests/pauses.rs
@@ -165,7 +165,7 @@
     let mut asked = request(1, "x", 1, 600);
     asked.pause_ms = PROMISED_MS;
     let mut memory = Memory::default();
-    memory.placed(&asked, StartOf { endpoint: "a", started_at_ms: 0 }, Told::Local);
+    memory.placed(&asked, EndpointStartRef { endpoint: "a", started_at_ms: 0 }, Told::Local);
     memory.begun(1);
     let mut placer = placer(&["a", "b"]);
     placer.receive(0, ROUTER, ToPlacer::Known(memory.tell(0, ROUTER)));
--- a/src/placement/tests/restarts.rs
+++ b/src/placement/tests/restarts.rs
@@ -62,12 +62,12 @@
 fn what_a_router_knows_of_an_earlier_start_is_not_believed_of_a_later_one() {
     let mut memory = Memory::default();
     let kept = request(1, "x", 7, 500);
-    memory.placed(&kept, StartOf { endpoint: "a", started_at_ms: 1 }, Told::Local);
+    memory.placed(&kept, EndpointStartRef { endpoint: "a", started_at_ms: 1 }, Told::Local);
     memory.begun(1);
     memory.ended(1);
     memory.placed(
         &request(2, "x", 9, 30_000),
-        StartOf { endpoint: "a", started_at_ms: 1 },
+        EndpointStartRef { endpoint: "a", started_at_ms: 1 },
         Told::Local,
     );
     let knowledge = memory.tell(0, HostId(9));
--- a/src/placement/tests/rests.rs
+++ b/src/placement/tests/rests.rs
@@ -92,8 +92,8 @@
 #[test]
 fn a_placer_that_takes_over_is_told_what_is_left_of_a_rest() {
     let mut memory = Memory::default();
-    memory.rested(0, StartOf { endpoint: "a", started_at_ms: 0 }, 1_000);
-    memory.rested(0, StartOf { endpoint: "b", started_at_ms: 0 }, 300);
+    memory.rested(0, EndpointStartRef { endpoint: "a", started_at_ms: 0 }, 1_000);
+    memory.rested(0, EndpointStartRef { endpoint: "b", started_at_ms: 0 }, 300);
     let knowledge = memory.tell(400, HostId(9));
     assert_eq!(knowledge.rests, [rest("a", 600)]);
     let mut placer = placer(&["a", "b"]);
@@ -108,10 +108,10 @@
     let mut memory = Memory::default();
     let ids: Vec<_> = (0..5_000).map(|number| format!("e-{number}")).collect();
     for id in &ids {
-        memory.rested(0, StartOf { endpoint: id, started_at_ms: 0 }, 10_000);
+        memory.rested(0, EndpointStartRef { endpoint: id, started_at_ms: 0 }, 10_000);
     }
     assert!(memory.tell(0, HostId(9)).rests.len() <= 2_048);
-    memory.rested(10_000, StartOf { endpoint: "last", started_at_ms: 0 }, 10);
+    memory.rested(10_000, EndpointStartRef { endpoint: "last", started_at_ms: 0 }, 10);
     assert_eq!(memory.tell(10_000, HostId(9)).rests, [rest("last", 10)]);
 }
 
