--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -7,7 +7,7 @@
 use super::endpoints::Preference;
 use super::request::Call;
 use crate::eligibility::{Candidate, Eligibility, order_of};
-use crate::placement::{self, Placed, PlacementRequest, Reservation};
+use crate::placement::{self, PlacementOutcome, PlacementRequest, Reservation};
 use crate::registry::Registration;
 
 /// Times that a placer is asked for one place, where this router knows that the endpoint
@@ -68,7 +68,7 @@
         let times = if self.is_engine { PLACEMENTS } else { 0 };
         for _ in 0..times {
             match self.gateway.placements.place(request.clone()).await {
-                Placed::At(reservation) => {
+                PlacementOutcome::Reserved(reservation) => {
                     let id = &reservation.endpoint;
                     let endpoint = self.gateway.registry.read(|r| r.get_ready(id).cloned());
                     // The placer may know an older registration or routing than this
@@ -79,8 +79,8 @@
                     request.avoid.push(reservation.endpoint.clone());
                     request.asked_before = true;
                 }
-                Placed::Refused(refusal) => return Place::TooLate(refusal),
-                Placed::Alone => break,
+                PlacementOutcome::Refused(refusal) => return Place::TooLate(refusal),
+                PlacementOutcome::Undecided => break,
             }
         }
         match self.choose(tried) {
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -40,13 +40,13 @@
 
 /// What a placer decided.
 #[derive(Debug)]
-pub enum Placed {
+pub enum PlacementOutcome {
     /// Go to the reserved endpoint.
-    At(Reservation),
+    Reserved(Reservation),
     /// It cannot be served in time.
     Refused(Refusal),
     /// No placer answers, or none knows an engine: choose alone.
-    Alone,
+    Undecided,
 }
 
 #[derive(Debug)]
@@ -110,7 +110,7 @@
     /// Asks where a request goes: the leader's host, so that one decides for
     /// all; out of its reach another one, first of the same data hall; and this
     /// router's own placer where none answers.
-    pub async fn place(self: &Arc<Self>, mut request: PlacementRequest) -> Placed {
+    pub async fn place(self: &Arc<Self>, mut request: PlacementRequest) -> PlacementOutcome {
         let asked = tokio::time::Instant::now();
         let objective_ms = request.objective_ms;
         for _ in 0..PLACERS_ASKED {
@@ -132,7 +132,7 @@
         answer: FromPlacer,
         request: &PlacementRequest,
         by: Told,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         match answer {
             FromPlacer::Go { endpoint, started_at_ms, copy_from, .. } => {
                 let at = EndpointStartRef { endpoint: &endpoint, started_at_ms };
@@ -141,10 +141,17 @@
                 let seq = request.seq;
                 let completion = Completion::Abandoned;
                 let begun = false;
-                Placed::At(Reservation { endpoint, copy_from, seq, placements, completion, begun })
+                PlacementOutcome::Reserved(Reservation {
+                    endpoint,
+                    copy_from,
+                    seq,
+                    placements,
+                    completion,
+                    begun,
+                })
             }
-            FromPlacer::Refuse { refusal, .. } => Placed::Refused(refusal),
-            FromPlacer::Unknown { .. } => Placed::Alone,
+            FromPlacer::Refuse { refusal, .. } => PlacementOutcome::Refused(refusal),
+            FromPlacer::Unknown { .. } => PlacementOutcome::Undecided,
         }
     }
 
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -107,7 +107,10 @@
 async fn a_session_that_answers_nothing_is_opened_anew() {
     let (_host, placements) = start(101, usize::MAX, 1).await;
     let asking = async {
-        while !matches!(placements.place(PlacementRequest::default()).await, Placed::Refused(_)) {
+        while !matches!(
+            placements.place(PlacementRequest::default()).await,
+            PlacementOutcome::Refused(_)
+        ) {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     };
