--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -19,7 +19,7 @@
 use crate::feed::{Followed, Subscriptions};
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
-use crate::placement::{Completion, LocalPlacer, Placements, Reservation};
+use crate::placement::{Completion, LocalPlacer, PlacementClient, Reservation};
 use crate::quarantine::{Guard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
@@ -47,7 +47,7 @@
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Where requests for engines go.
-    pub placements: Arc<Placements>,
+    pub placements: Arc<PlacementClient>,
     /// Names and formats of heads.
     pub dialect: Arc<Dialect>,
     /// Connections to endpoints.
@@ -98,7 +98,7 @@
         let overload = Arc::new(Mutex::new(Overload::new(rules.overload)));
         let lag = watch_lag(overload.clone());
         let most_connections = rules.overload.caller_connections();
-        let placements = Placements::start(peers.clone(), feeds.clone(), local, hall, lag);
+        let placements = PlacementClient::start(peers.clone(), feeds.clone(), local, hall, lag);
         let budgets = RetryBudgets::new(rules.retry_budget, 1);
         Arc::new(Gateway {
             settings,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -33,7 +33,7 @@
 mod unanswered;
 mod warmth;
 
-pub use client::{PlacementOutcome, Placements, Reservation};
+pub use client::{PlacementClient, PlacementOutcome, Reservation};
 pub use distance::Distances;
 pub use engines::EngineInfo;
 pub use knowledge::EndpointStartRef;
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -62,7 +62,7 @@
 
 /// The placers in view.
 #[derive(Debug)]
-pub struct Placements {
+pub struct PlacementClient {
     peers: Arc<Peers>,
     feeds: Arc<Subscriptions>,
     hall: String,
@@ -83,7 +83,7 @@
     }
 }
 
-impl Placements {
+impl PlacementClient {
     /// Opens a session with every control host in view.
     pub fn start(
         peers: Arc<Peers>,
@@ -91,8 +91,8 @@
         local: LocalPlacer,
         hall: String,
         lag: LoopLag,
-    ) -> Arc<Placements> {
-        let placements = Arc::new(Placements {
+    ) -> Arc<PlacementClient> {
+        let placements = Arc::new(PlacementClient {
             peers,
             feeds,
             hall,
@@ -319,7 +319,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn follow_view(all: Arc<Placements>) {
+async fn follow_view(all: Arc<PlacementClient>) {
     let mut view = all.peers.watch();
     let mut silent = all.feeds.watch_silent();
     loop {
--- a/src/placement/client/reservation.rs
+++ b/src/placement/client/reservation.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{Placements, lock};
+use super::{PlacementClient, lock};
 use crate::placement::message::{Completion, ToPlacer};
 
 /// A place at an endpoint, given back when dropped.
@@ -13,7 +13,7 @@
     /// The id of an endpoint from which it should copy prompt parts.
     pub copy_from: Option<String>,
     pub(super) seq: u64,
-    pub(super) placements: Arc<Placements>,
+    pub(super) placements: Arc<PlacementClient>,
     pub(super) completion: Completion,
     pub(super) begun: bool,
 }
--- a/src/placement/client/session.rs
+++ b/src/placement/client/session.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
-use super::{Placements, lock};
+use super::{PlacementClient, lock};
 use crate::error::{Error, Result};
 use crate::placement::message::{Completion, FromPlacer, PlacementRequest, ToPlacer};
 use crate::wire::{BatchSender, BatchWriter, HostId, Open, Traffic};
@@ -61,7 +61,7 @@
 }
 
 /// Opens sessions with a placer one after the other.
-pub(super) async fn follow(all: Arc<Placements>, host: HostId, address: SocketAddr) {
+pub(super) async fn follow(all: Arc<PlacementClient>, host: HostId, address: SocketAddr) {
     loop {
         if let Err(error) = run_session(&all, host, address).await {
             log::info!("placement: lost control host {host}: {error}");
@@ -71,7 +71,7 @@
     }
 }
 
-async fn run_session(all: &Placements, host: HostId, address: SocketAddr) -> Result<()> {
+async fn run_session(all: &PlacementClient, host: HostId, address: SocketAddr) -> Result<()> {
     let number = all.next_seq.fetch_add(1, Ordering::Relaxed);
     let open = Open::Place { router: all.peers.me, session: number };
     let (mut reader, writer) = all.peers.connect(address, &open).await?;
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -78,7 +78,7 @@
 }
 
 /// A router with a session to one control host.
-async fn start(first: u8, feeds: usize, silent: usize) -> (ControlHost, Arc<Placements>) {
+async fn start(first: u8, feeds: usize, silent: usize) -> (ControlHost, Arc<PlacementClient>) {
     let (peers, incoming) = start_peers(Role::Control, first, vec![]).await;
     let host = ControlHost {
         peers,
@@ -98,7 +98,8 @@
     };
     let followed = Subscriptions::start(router.clone(), followed, "a", Role::Router);
     let local = LocalPlacer::new(router.me, router.clock, documents, registry, Default::default());
-    let placements = Placements::start(router, followed, local, "a".into(), LoopLag::default());
+    let placements =
+        PlacementClient::start(router, followed, local, "a".into(), LoopLag::default());
     wait_until(|| host.sessions_taken.load(Ordering::SeqCst) > 0).await;
     (host, placements)
 }
