--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -96,7 +96,7 @@
         let now = self.now();
         let (id, started_at_ms) = (&endpoint.id, endpoint.started_at_ms);
         self.with_endpoints(|endpoints| endpoints.asked_for_rest(now, id, started_at_ms, time));
-        self.placements.rest(EndpointStartRef { endpoint: id, started_at_ms }, time);
+        self.placements.record_rest(EndpointStartRef { endpoint: id, started_at_ms }, time);
     }
 
     /// An endpoint told this router that it leaves. From here on that is known as if it had
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -157,7 +157,7 @@
 
     /// An engine asked this router for so many milliseconds of rest: the placer that is
     /// asked must know, and any that is asked later.
-    pub fn rest(&self, at: EndpointStartRef<'_>, time: Millis) {
+    pub fn record_rest(&self, at: EndpointStartRef<'_>, time: Millis) {
         lock(&self.memory).rested(self.peers.clock.now(), at, time);
         let mut told = vec![Told::Local];
         told.extend(lock(&self.informed).map(Told::Host));
