--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -326,7 +326,7 @@
             self.gateway.with_endpoints(|e| e.begun(&self.endpoint, self.started_at_ms, tokens));
             self.observed.answered();
             if let Some(reservation) = &mut self.reservation {
-                reservation.begun();
+                reservation.record_first_event();
             }
         }
     }
--- a/src/placement/client/reservation.rs
+++ b/src/placement/client/reservation.rs
@@ -20,7 +20,7 @@
 
 impl Reservation {
     /// The first event came.
-    pub fn begun(&mut self) {
+    pub fn record_first_event(&mut self) {
         if !std::mem::replace(&mut self.begun, true) {
             let told = lock(&self.placements.memory).begun(self.seq);
             self.placements.tell(&told, &ToPlacer::Begun { seq: self.seq });
