--- a/benches/placer.rs
+++ b/benches/placer.rs
@@ -68,7 +68,7 @@
         hall: "a".into(),
         eligibility: Default::default(),
         avoid: vec![],
-        asked_before: false,
+        demand_recorded: false,
         has_alternative: false,
     }
 }
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -55,7 +55,7 @@
             _ => match self.eligibility() {
                 Some(others) => {
                     let mut request = self.placement_request(&others, tried);
-                    request.asked_before = true;
+                    request.demand_recorded = true;
                     self.place_among(request, tried).await
                 }
                 None => Place::Nowhere,
@@ -77,7 +77,7 @@
                         return Place::At(Box::new(endpoint), Some(reservation));
                     }
                     request.avoid.push(reservation.endpoint.clone());
-                    request.asked_before = true;
+                    request.demand_recorded = true;
                 }
                 PlacementOutcome::Refused(refusal) => return Place::TooLate(refusal),
                 PlacementOutcome::Undecided => break,
@@ -134,7 +134,7 @@
             hall: self.gateway.settings.host.hall.clone(),
             eligibility: eligibility.clone(),
             avoid: tried.to_vec(),
-            asked_before: false,
+            demand_recorded: false,
             has_alternative: false,
         }
     }
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -33,7 +33,7 @@
     /// Endpoints that it must not go to.
     pub avoid: Vec<String>,
     /// Whether it was asked for a moment ago with other endpoints, and counts as asked.
-    pub asked_before: bool,
+    pub demand_recorded: bool,
     /// Whether it is rather asked for with other endpoints than queued where none has room.
     pub has_alternative: bool,
 }
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -283,7 +283,7 @@
     fn place(&mut self, now: Millis, router: HostId, request: PlacementRequest) -> Decision {
         let key = (router, request.seq);
         let units = units(&request);
-        if !request.asked_before {
+        if !request.demand_recorded {
             self.shares.asked(now, &request.customer, units);
         }
         let standing = self.shares.standing(&request.customer);
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -59,7 +59,7 @@
         hall: "a".into(),
         eligibility: Default::default(),
         avoid: vec![],
-        asked_before: false,
+        demand_recorded: false,
         has_alternative: false,
     }
 }
--- a/src/placement/tests/releases.rs
+++ b/src/placement/tests/releases.rs
@@ -69,9 +69,9 @@
 
 #[test]
 fn a_request_asked_for_twice_counts_once_in_its_customers_share() {
-    let share = |asked_before| {
+    let share = |demand_recorded| {
         let mut placer = placer(&["a"]);
-        let again = PlacementRequest { asked_before, ..request(2, "x", 8, 500) };
+        let again = PlacementRequest { demand_recorded, ..request(2, "x", 8, 500) };
         // Asked for without a place, and again with other endpoints.
         let nowhere = PlacementRequest { avoid: vec!["a".into()], ..request(1, "x", 7, 500) };
         place(&mut placer, 0, nowhere);
