--- a/benches/placer.rs
+++ b/benches/placer.rs
@@ -64,7 +64,7 @@
         prompt_tokens: shared + own,
         output_tokens: made,
         objective_ms: 1_000,
-        pause_ms: PROMISED_MS,
+        pause_objective_ms: PROMISED_MS,
         hall: "a".into(),
         eligibility: Default::default(),
         avoid: vec![],
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -130,7 +130,7 @@
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: self.head.output_tokens,
             objective_ms: left.as_millis() as u32,
-            pause_ms: self.route.pause_objective_ms as u32,
+            pause_objective_ms: self.route.pause_objective_ms as u32,
             hall: self.gateway.settings.host.hall.clone(),
             eligibility: eligibility.clone(),
             avoid: tried.to_vec(),
--- a/src/placement/knowledge.rs
+++ b/src/placement/knowledge.rs
@@ -67,7 +67,7 @@
             parts: request.parts.clone(),
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
-            pause_ms: request.pause_ms,
+            pause_objective_ms: request.pause_objective_ms,
             begun: false,
         };
         self.open.insert(request.seq, Open { request: open, told: vec![by] });
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -25,7 +25,7 @@
     /// Milliseconds in which its first event is in time, from now on.
     pub objective_ms: u32,
     /// Longest pause between events that is in time, in milliseconds; 0 for none.
-    pub pause_ms: u32,
+    pub pause_objective_ms: u32,
     /// The data hall of the router that asks.
     pub hall: String,
     /// Endpoints that it may go to.
@@ -67,7 +67,7 @@
     /// Most tokens of output.
     pub output_tokens: u32,
     /// Longest pause between events that is in time, in milliseconds; 0 for none.
-    pub pause_ms: u32,
+    pub pause_objective_ms: u32,
     /// Whether its first event has come.
     pub begun: bool,
 }
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -205,7 +205,7 @@
                 engine.queue.insert(0, Planned { units, latest_start: now as f64 });
                 engine.model.send(now, key, &open.parts, units, tokens);
             }
-            engine.model.promise(key, open.pause_ms, 0.0);
+            engine.model.promise(key, open.pause_objective_ms, 0.0);
             self.placed.insert(key, number);
         }
     }
@@ -349,7 +349,7 @@
         let engine = &mut self.engines[to.engine];
         engine.queue.insert(to.position.index, planned);
         engine.model.send(now, key, parts, planned.units, tokens);
-        engine.model.promise(key, request.pause_ms, to.pause_ms);
+        engine.model.promise(key, request.pause_objective_ms, to.pause_ms);
         engine.warmth.sent(now);
         engine.rests.sent(now, key.0);
         self.placed.insert(key, to.engine);
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -55,7 +55,7 @@
         prompt_tokens: 10_000 + own_tokens,
         output_tokens: 100,
         objective_ms: 800,
-        pause_ms: 0,
+        pause_objective_ms: 0,
         hall: "a".into(),
         eligibility: Default::default(),
         avoid: vec![],
--- a/src/placement/tests/pauses.rs
+++ b/src/placement/tests/pauses.rs
@@ -127,7 +127,7 @@
         asked.parts[0].1 = 2_000;
         asked.prompt_tokens = 2_000 + tokens;
         asked.objective_ms = if tokens > 600 { 2_000 } else { 400 };
-        asked.pause_ms = pause_ms;
+        asked.pause_objective_ms = pause_ms;
         let answer = place(&mut placer, now, asked.clone());
         fleet.take(now, &asked, answer);
     }
@@ -148,13 +148,13 @@
     let mut placer = placer(&["a", "b"]);
     for seq in 1..9 {
         let mut asked = request(seq, "x", 1, 600);
-        asked.pause_ms = PROMISED_MS;
+        asked.pause_objective_ms = PROMISED_MS;
         endpoint(place(&mut placer, seq * 1_000, asked));
         placer.receive(seq * 1_000 + 500, ROUTER, ToPlacer::Begun { seq });
     }
     for seq in 10..14 {
         let mut long = request(seq, "x", 1, 20_000);
-        (long.pause_ms, long.objective_ms) = (PROMISED_MS, 2_000);
+        (long.pause_objective_ms, long.objective_ms) = (PROMISED_MS, 2_000);
         endpoint(place(&mut placer, seq * 1_000, long));
         serve(&mut placer, seq * 1_000 + 700, seq);
     }
@@ -163,7 +163,7 @@
 #[test]
 fn a_new_placer_is_told_which_streams_were_promised_what() {
     let mut asked = request(1, "x", 1, 600);
-    asked.pause_ms = PROMISED_MS;
+    asked.pause_objective_ms = PROMISED_MS;
     let mut memory = Memory::default();
     memory.placed(&asked, EndpointStartRef { endpoint: "a", started_at_ms: 0 }, Told::Local);
     memory.begun(1);
@@ -171,6 +171,6 @@
     placer.receive(0, ROUTER, ToPlacer::Known(memory.tell(0, ROUTER)));
     // What its parts are worth at the one engine, the stream there is worth more.
     let mut long = request(2, "x", 1, 20_000);
-    (long.pause_ms, long.objective_ms) = (PROMISED_MS, 2_000);
+    (long.pause_objective_ms, long.objective_ms) = (PROMISED_MS, 2_000);
     assert_eq!(endpoint(place(&mut placer, 0, long)), "b");
 }
