--- a/src/control.rs
+++ b/src/control.rs
@@ -31,7 +31,7 @@
 use crate::error::{Error, Result};
 use crate::feed::{self, Followed, Followers, Publication, Subscriptions};
 use crate::peer::{Incoming, PeerReader, Peers};
-use crate::placement::{self, PlacementSession};
+use crate::placement::{self, PlacerHandle};
 use crate::quarantine::SharedQuarantine;
 use crate::registry::{SharedRegistry, saved};
 use crate::rollout::{Progress, SharedRollouts};
@@ -74,7 +74,7 @@
     /// What is shown of those that this host leads, by service.
     pub rollout_progress: Mutex<BTreeMap<String, Progress>>,
     /// The placer that runs here.
-    pub placement: PlacementSession,
+    pub placement: PlacerHandle,
     /// The feeds that are open from here.
     pub followers: Arc<Followers>,
     /// The agreement.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -44,4 +44,4 @@
 };
 pub use placer::{Decision, Placer};
 pub use rules::PlacementRules;
-pub use server::{PlacementSession, serve};
+pub use server::{PlacerHandle, serve};
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -37,7 +37,7 @@
 
 /// Where routers' connections to the placer are handed over.
 #[derive(Clone, Debug)]
-pub struct PlacementSession {
+pub struct PlacerHandle {
     events: mpsc::Sender<Event>,
     sent: SentBytes,
 }
@@ -52,7 +52,7 @@
     registry: Arc<SharedRegistry>,
     regions: Regions,
     sent: SentBytes,
-) -> PlacementSession {
+) -> PlacerHandle {
     let (events, inbox) = mpsc::channel(INBOX);
     let mut placer = Placer::new(rules);
     placer.set_distances(Distances::new(regions.clone()));
@@ -68,10 +68,10 @@
         sessions: HashMap::new(),
     };
     tokio::spawn(task.run(inbox));
-    PlacementSession { events, sent }
+    PlacerHandle { events, sent }
 }
 
-impl PlacementSession {
+impl PlacerHandle {
     /// Serves one router's connection until it closes.
     pub async fn attach(
         self,
