--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -19,7 +19,7 @@
 use crate::feed::{Followed, Subscriptions};
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
-use crate::placement::{Ending, LocalPlacer, Placements, Reservation};
+use crate::placement::{Completion, LocalPlacer, PlacementClient, Reservation};
 use crate::quarantine::{CrashGuard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
@@ -47,7 +47,7 @@
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Where requests for engines go.
-    pub placements: Arc<Placements>,
+    pub placements: Arc<PlacementClient>,
     /// Names and formats of heads.
     pub dialect: Arc<Dialect>,
     /// Connections to endpoints.
@@ -98,7 +98,7 @@
         let overload = Arc::new(Mutex::new(Overload::new(rules.overload)));
         let lag = watch_lag(overload.clone());
         let most_connections = rules.overload.caller_connections();
-        let placements = Placements::start(peers.clone(), feeds.clone(), local, hall, lag);
+        let placements = PlacementClient::start(peers.clone(), feeds.clone(), local, hall, lag);
         let budgets = RetryBudgets::new(rules.retry_budget, 1);
         Arc::new(Gateway {
             settings,
@@ -326,7 +326,7 @@
             self.gateway.with_endpoints(|e| e.begun(&self.endpoint, self.started_at_ms, tokens));
             self.observed.answered();
             if let Some(reservation) = &mut self.reservation {
-                reservation.begun();
+                reservation.record_first_event();
             }
         }
     }
@@ -338,9 +338,9 @@
     }
 
     /// Says how the request ended.
-    pub fn set_ending(&mut self, ending: Ending) {
+    pub fn set_ending(&mut self, ending: Completion) {
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_ending(ending);
+            reservation.set_completion(ending);
         }
     }
 }
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -12,9 +12,9 @@
 
 use tokio::task::JoinHandle;
 
-use super::knowledge::{Memory, StartOf, Told};
+use super::knowledge::{EndpointStartRef, Memory, Told};
 use super::local::LocalPlacer;
-use super::message::{Ending, FromPlacer, PlacementRequest, Refusal, RestTold, ToPlacer};
+use super::message::{Completion, FromPlacer, PlacementRequest, Refusal, RestTold, ToPlacer};
 use super::unanswered::Unanswered;
 use crate::dispatch::Millis;
 use crate::feed::Subscriptions;
@@ -40,13 +40,13 @@
 
 /// What a placer decided.
 #[derive(Debug)]
-pub enum Placed {
+pub enum PlacementOutcome {
     /// Go to the reserved endpoint.
-    At(Reservation),
+    Reserved(Reservation),
     /// It cannot be served in time.
     Refused(Refusal),
     /// No placer answers, or none knows an engine: choose alone.
-    Alone,
+    Undecided,
 }
 
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 
 /// The placers in view.
 #[derive(Debug)]
-pub struct Placements {
+pub struct PlacementClient {
     peers: Arc<Peers>,
     feeds: Arc<Subscriptions>,
     hall: String,
@@ -83,7 +83,7 @@
     }
 }
 
-impl Placements {
+impl PlacementClient {
     /// Opens a session with every control host in view.
     pub fn start(
         peers: Arc<Peers>,
@@ -91,8 +91,8 @@
         local: LocalPlacer,
         hall: String,
         lag: LoopLag,
-    ) -> Arc<Placements> {
-        let placements = Arc::new(Placements {
+    ) -> Arc<PlacementClient> {
+        let placements = Arc::new(PlacementClient {
             peers,
             feeds,
             hall,
@@ -110,7 +110,7 @@
     /// Asks where a request goes: the leader's host, so that one decides for
     /// all; out of its reach another one, first of the same data hall; and this
     /// router's own placer where none answers.
-    pub async fn place(self: &Arc<Self>, mut request: PlacementRequest) -> Placed {
+    pub async fn place(self: &Arc<Self>, mut request: PlacementRequest) -> PlacementOutcome {
         let asked = tokio::time::Instant::now();
         let objective_ms = request.objective_ms;
         for _ in 0..PLACERS_ASKED {
@@ -132,25 +132,32 @@
         answer: FromPlacer,
         request: &PlacementRequest,
         by: Told,
-    ) -> Placed {
+    ) -> PlacementOutcome {
         match answer {
             FromPlacer::Go { endpoint, started_at_ms, copy_from, .. } => {
-                let at = StartOf { endpoint: &endpoint, started_at_ms };
+                let at = EndpointStartRef { endpoint: &endpoint, started_at_ms };
                 lock(&self.memory).placed(request, at, by);
                 let placements = self.clone();
                 let seq = request.seq;
-                let ending = Ending::Abandoned;
+                let completion = Completion::Abandoned;
                 let begun = false;
-                Placed::At(Reservation { endpoint, copy_from, seq, placements, ending, begun })
+                PlacementOutcome::Reserved(Reservation {
+                    endpoint,
+                    copy_from,
+                    seq,
+                    placements,
+                    completion,
+                    begun,
+                })
             }
-            FromPlacer::Refuse { refusal, .. } => Placed::Refused(refusal),
-            FromPlacer::Unknown { .. } => Placed::Alone,
+            FromPlacer::Refuse { refusal, .. } => PlacementOutcome::Refused(refusal),
+            FromPlacer::Unknown { .. } => PlacementOutcome::Undecided,
         }
     }
 
     /// An engine asked this router for so many milliseconds of rest: the placer that is
     /// asked must know, and any that is asked later.
-    pub fn rest(&self, at: StartOf<'_>, time: Millis) {
+    pub fn record_rest(&self, at: EndpointStartRef<'_>, time: Millis) {
         lock(&self.memory).rested(self.peers.clock.now(), at, time);
         let mut told = vec![Told::Local];
         told.extend(lock(&self.informed).map(Told::Host));
@@ -312,7 +319,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn follow_view(all: Arc<Placements>) {
+async fn follow_view(all: Arc<PlacementClient>) {
     let mut view = all.peers.watch();
     let mut silent = all.feeds.watch_silent();
     loop {
