--- a/src/bin/bramblecrank/command.rs
+++ b/src/bin/bramblecrank/command.rs
@@ -36,7 +36,9 @@
 async fn run_router(settings: RouterSettings) -> Result<()> {
     let stop = stop_on_signal();
     match settings.gateway.clone() {
-        Some(rules) => gateway::run(settings, rules, Arc::new(platform::dialect()), stop).await,
+        Some(rules) => {
+            gateway::run(settings, rules, Arc::new(platform::header_names()), stop).await
+        }
         None => router::run(settings, stop).await,
     }
 }
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use rand::RngExt;
 
-use super::dialect::CallHead;
+use super::header_names::CallHead;
 use super::refusal::Refusal;
 use super::request::Call;
 use super::state::Gateway;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 
 use super::connections::{Connection, SendError, Target};
-use super::dialect::Forwarding;
 use super::endpoints::Failure;
+use super::header_names::Forwarding;
 use super::observed::Observed;
 use super::request::Call;
 use super::state::Ticket;
@@ -86,7 +86,7 @@
         copy_from,
         after_event,
     };
-    call.gateway.dialect.write_call(&mut headers, &forwarding);
+    call.gateway.header_names.write_call(&mut headers, &forwarding);
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.parts.method.clone();
     *request.uri_mut() = origin_form(&call.parts.uri);
@@ -233,7 +233,7 @@
     response: &Response<Incoming>,
     rests: bool,
 ) -> Result<(), Attempt> {
-    let head = call.gateway.dialect.read_answer(response.headers());
+    let head = call.gateway.header_names.read_answer(response.headers());
     let status = response.status();
     if head.not_executed || status == StatusCode::MISDIRECTED_REQUEST {
         let replaced = status == StatusCode::MISDIRECTED_REQUEST;
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -144,7 +144,7 @@
     let (read, mut write) = caller.into_split();
     // Its caller learns by this answer that the endpoint leaves, and this router has to.
     let on_leaving = || drop(tokio::spawn(learn_leaving(gateway.clone(), neighbour)));
-    let mut head = HeadWatch::new(gateway.dialect.leaving.clone(), on_leaving);
+    let mut head = HeadWatch::new(gateway.header_names.leaving.clone(), on_leaving);
     let passed = tokio::select! {
         passed = pass_answer(answers, &mut write, &mut head) => passed,
         () = pass_request(read, requests) => return,
--- a/src/gateway/dialect.rs
+++ b/src/gateway/header_names.rs
@@ -66,7 +66,7 @@
 /// The names under which heads say things. The formats behind them are the same
 /// everywhere.
 #[derive(Clone, Debug)]
-pub struct Dialect {
+pub struct HeaderNames {
     /// The caller's id for this attempt.
     pub id: HeaderName,
     /// The caller's key; endpoints do not see it.
@@ -95,10 +95,10 @@
     pub reserved: Vec<HeaderName>,
 }
 
-impl Dialect {
+impl HeaderNames {
     /// The product's own names.
-    pub fn native() -> Dialect {
-        Dialect {
+    pub fn native() -> HeaderNames {
+        HeaderNames {
             id: HeaderName::from_static("x-request-id"),
             key: HeaderName::from_static("x-api-key"),
             deadline: HeaderName::from_static("x-deadline-ms"),
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -25,7 +25,7 @@
         if status == StatusCode::MISDIRECTED_REQUEST {
             return false;
         }
-        let notice = self.gateway.dialect.read_notice(status, response.headers());
+        let notice = self.gateway.header_names.read_notice(status, response.headers());
         self.gateway.take_notice(endpoint, &notice);
         notice.rest.time().is_some()
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -10,8 +10,8 @@
 use hyper::body::Incoming;
 
 use super::arrival::admit;
-use super::dialect::CallHead;
 use super::exchange::{self, Attempt};
+use super::header_names::CallHead;
 use super::placing::Place;
 use super::refusal::Refusal;
 use super::state::{Gateway, Presence};
@@ -73,7 +73,7 @@
 pub(super) async fn serve(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<Body> {
     let stopping = gateway.stop.is_cancelled();
     let (parts, body) = request.into_parts();
-    let head = gateway.dialect.read_call(&parts.headers);
+    let head = gateway.header_names.read_call(&parts.headers);
     let id = head.id.clone();
     let mut response = match admit(&gateway, parts, head, body).await {
         Ok(call) => run(Arc::new(call)).await,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -11,8 +11,8 @@
 use tokio_util::sync::CancellationToken;
 
 use super::callers::{KeepAlive, serve_requests};
-use super::dialect::Dialect;
 use super::handover::{hand_over, take_callers};
+use super::header_names::HeaderNames;
 use super::overload::Overload;
 use super::rollouts;
 use super::state::{Gateway, follow_registry};
@@ -33,12 +33,12 @@
 pub async fn run(
     settings: RouterSettings,
     rules: GatewaySettings,
-    dialect: Arc<Dialect>,
+    header_names: Arc<HeaderNames>,
     stop: CancellationToken,
 ) -> Result<()> {
     settings.check()?;
     let (peers, incoming) = Peers::start(&settings.host, Role::Router, settings.operator).await?;
-    let gateway = Gateway::new(settings, rules, peers, dialect, stop.clone());
+    let gateway = Gateway::new(settings, rules, peers, header_names, stop.clone());
     tokio::spawn(take_callers(gateway.clone(), incoming));
     tokio::spawn(follow_registry(gateway.clone()));
     tokio::spawn(rollouts::report(gateway.clone()));
--- a/src/gateway/start_checks.rs
+++ b/src/gateway/start_checks.rs
@@ -117,7 +117,7 @@
     };
     match response.status() {
         StatusCode::MISDIRECTED_REQUEST => OtherEndpointSnafu.fail(),
-        status => Ok(gateway.dialect.read_notice(status, response.headers())),
+        status => Ok(gateway.header_names.read_notice(status, response.headers())),
     }
 }
 
@@ -133,7 +133,7 @@
     let request = Request::get(path.as_str())
         .header(header::HOST, target.address.to_string())
         .header(header::CONNECTION, HeaderValue::from_static("close"))
-        .header(&gateway.dialect.endpoint, endpoint.id.as_str())
+        .header(&gateway.header_names.endpoint, endpoint.id.as_str())
         .body(Full::default());
     request.map_err(|source| CheckError::Path { path: path.clone(), source })
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -9,8 +9,8 @@
 
 use super::budget::RetryBudgets;
 use super::connections::Connections;
-use super::dialect::Dialect;
 use super::endpoints::{ColdPart, Endpoints, Failure};
+use super::header_names::HeaderNames;
 use super::neighbours::Neighbours;
 use super::observed::Observed;
 use super::overload::Overload;
@@ -49,7 +49,7 @@
     /// Where requests for engines go.
     pub placements: Arc<Placements>,
     /// Names and formats of heads.
-    pub dialect: Arc<Dialect>,
+    pub header_names: Arc<HeaderNames>,
     /// Connections to endpoints.
     pub connections: Connections,
     /// Counters.
@@ -76,7 +76,7 @@
         settings: RouterSettings,
         rules: GatewaySettings,
         peers: Arc<Peers>,
-        dialect: Arc<Dialect>,
+        header_names: Arc<HeaderNames>,
         stop: CancellationToken,
     ) -> Arc<Gateway> {
         let documents = Arc::new(Documents::default());
@@ -110,7 +110,7 @@
             guard,
             feeds,
             placements,
-            dialect,
+            header_names,
             connections: Connections::new(most_connections),
             metrics: GatewayMetrics::default(),
             stop,
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 
-use super::dialect::{prompt_parts, token_counts};
 use super::endpoints::ColdPart;
+use super::header_names::{prompt_parts, token_counts};
 use super::nearby::why_nowhere;
 use super::neighbours::{REFUSED_MS, RENEW_MS};
 use super::refusal::Refusal;
@@ -344,9 +344,15 @@
     use axum::http::{HeaderMap, HeaderName, HeaderValue};
 
     let reserved = HeaderName::from_static("x-reserved");
-    let dialect = Dialect { reserved: vec![reserved.clone()], ..Dialect::native() };
+    let header_names = HeaderNames { reserved: vec![reserved.clone()], ..HeaderNames::native() };
     let mut headers = HeaderMap::new();
-    let names = [&dialect.key, &dialect.endpoint, &dialect.customer, &dialect.copy_from, &reserved];
+    let names = [
+        &header_names.key,
+        &header_names.endpoint,
+        &header_names.customer,
+        &header_names.copy_from,
+        &reserved,
+    ];
     for name in names {
         headers.insert(name, HeaderValue::from_static("said by the caller"));
     }
@@ -357,11 +363,11 @@
         copy_from: None,
         after_event: None,
     };
-    dialect.write_call(&mut headers, &forwarding);
+    header_names.write_call(&mut headers, &forwarding);
     let left: Vec<_> = headers.iter().map(|(name, value)| (name.as_str(), value)).collect();
     assert_eq!(left.len(), 2, "{left:?}");
-    assert_eq!(headers[&dialect.endpoint], "e1");
-    assert_eq!(headers[&dialect.deadline], "70");
+    assert_eq!(headers[&header_names.endpoint], "e1");
+    assert_eq!(headers[&header_names.deadline], "70");
 }
 
 #[test]
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -90,7 +90,7 @@
             gateway: None,
         };
         let stop = CancellationToken::new();
-        let gateway = Gateway::new(settings, rules, peers, Arc::new(Dialect::native()), stop);
+        let gateway = Gateway::new(settings, rules, peers, Arc::new(HeaderNames::native()), stop);
         let of = |id: &str, version: &str, answering: &Answering| Registration {
             version: version.into(),
             address: Some(answering.address),
