--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -68,7 +68,7 @@
 /// Routers do not ask each other. Where a part is less than one request a second, some
 /// routers, drawn by hash for each endpoint, may send one, and the others none.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdPart {
+pub struct ColdLimit {
     /// Requests a second that a cold endpoint bears from all routers together; none
     /// where it bears as many as a warm one.
     pub per_second: Option<f64>,
@@ -78,11 +78,11 @@
     pub router: HostId,
 }
 
-impl ColdPart {
+impl ColdLimit {
     /// Of cold engines no part at all: their placer may send them all that they bear.
-    pub fn left_to_placer(self, is_engine: bool) -> ColdPart {
+    pub fn reserved_for_placer(self, is_engine: bool) -> ColdLimit {
         let per_second = self.per_second.map(|bears| if is_engine { 0.0 } else { bears });
-        ColdPart { per_second, ..self }
+        ColdLimit { per_second, ..self }
     }
 
     /// Requests a second that this router may send to a cold endpoint; none for as many
@@ -112,7 +112,7 @@
         ready: impl Iterator<Item = &'a Registration>,
         tried: &[String],
         preference: Preference,
-        cold: ColdPart,
+        cold: ColdLimit,
     ) -> Option<&'a Registration> {
         let usable = |r: &&Registration| {
             let replaced = self.of(r).is_some_and(|s| s.replaced);
@@ -198,7 +198,7 @@
     }
 
     /// Whether an endpoint is cold and was sent this router's part of what it bears.
-    fn is_too_cold(&self, now: Millis, endpoint: &Registration, cold: ColdPart) -> bool {
+    fn is_too_cold(&self, now: Millis, endpoint: &Registration, cold: ColdLimit) -> bool {
         if endpoint.warmup_ms == 0 {
             return false;
         }
--- a/src/gateway/nearby.rs
+++ b/src/gateway/nearby.rs
@@ -1,7 +1,7 @@
 //! Regions, as a router minds them: which of its endpoints are near, and where a
 //! request may be served by now.
 
-use super::endpoints::{ColdPart, Endpoints, Preference};
+use super::endpoints::{ColdLimit, Endpoints, Preference};
 use super::refusal::Refusal;
 use super::request::Call;
 use super::state::Gateway;
@@ -19,7 +19,7 @@
         is_near: impl Fn(&Registration) -> bool,
         tried: &[String],
         preference: Preference,
-        cold: ColdPart,
+        cold: ColdLimit,
     ) -> Option<&'a Registration> {
         let near = ready.iter().copied().filter(|e| is_near(e) && self.is_calm(now, e));
         let nearest = self.choose(now, near, tried, preference, cold);
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -93,7 +93,7 @@
     fn choose(&self, tried: &[String]) -> Option<Registration> {
         let eligibility = self.eligibility()?;
         let now = self.gateway.now();
-        let cold = self.gateway.cold_part(self.cold_per_second, self.is_engine);
+        let cold = self.gateway.cold_limit(self.cold_per_second, self.is_engine);
         let is_near = |endpoint: &Registration| self.gateway.is_near(endpoint);
         self.gateway.registry.read(|registry| {
             let ready = registry.ready(&self.service);
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -9,7 +9,7 @@
 
 use super::budget::RetryBudgets;
 use super::connections::Connections;
-use super::endpoints::{ColdPart, Endpoints, Failure};
+use super::endpoints::{ColdLimit, Endpoints, Failure};
 use super::header_names::HeaderNames;
 use super::neighbours::Neighbours;
 use super::observed::Observed;
@@ -144,9 +144,9 @@
     }
 
     /// This router's part of what cold endpoints of a service bear.
-    pub(super) fn cold_part(&self, per_second: Option<f64>, is_engine: bool) -> ColdPart {
+    pub(super) fn cold_limit(&self, per_second: Option<f64>, is_engine: bool) -> ColdLimit {
         let routers = self.feeds.routers();
-        ColdPart { per_second, routers, router: self.peers.me }.left_to_placer(is_engine)
+        ColdLimit { per_second, routers, router: self.peers.me }.reserved_for_placer(is_engine)
     }
 
     /// Works on the retry budgets.
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 
-use super::endpoints::ColdPart;
+use super::endpoints::ColdLimit;
 use super::header_names::{prompt_parts, token_counts};
 use super::nearby::why_nowhere;
 use super::neighbours::{REFUSED_MS, RENEW_MS};
@@ -34,7 +34,7 @@
 /// Any number will do where only one endpoint fits.
 const ANY: Preference = Preference::Random(0);
 /// Cold endpoints bear as many requests as others.
-const ANY_COLD: ColdPart = ColdPart { per_second: None, routers: 1, router: HostId(1) };
+const ANY_COLD: ColdLimit = ColdLimit { per_second: None, routers: 1, router: HostId(1) };
 
 #[test]
 fn routers_with_nothing_under_way_do_not_agree_on_one_endpoint() {
@@ -294,7 +294,7 @@
         let mut sent = 0;
         for router in 0..routers {
             let router = HostId(router as u32);
-            let part = ColdPart { per_second: Some(20.0), routers, router };
+            let part = ColdLimit { per_second: Some(20.0), routers, router };
             let mut endpoints = Endpoints::default();
             for now in 0..1_000 {
                 let ready = std::iter::once(&cold);
@@ -312,7 +312,7 @@
 fn a_cold_endpoint_gets_more_a_second_later_and_a_warm_one_at_once() {
     let mut cold = endpoint("a");
     cold.warmup_ms = 3_000;
-    let part = ColdPart { per_second: Some(1.0), routers: 1, router: HostId(1) };
+    let part = ColdLimit { per_second: Some(1.0), routers: 1, router: HostId(1) };
     let mut endpoints = Endpoints::default();
     endpoints.begin(10, "a", 0, 0);
     let choose = |now, endpoint: &Registration| {
@@ -327,7 +327,7 @@
 #[test]
 fn what_was_sent_before_a_cold_start_was_known_counts_for_it() {
     let cold = Registration { started_at_ms: 2_000, warmup_ms: 3_000, ..endpoint("a") };
-    let part = ColdPart { per_second: Some(2.0), routers: 1, router: HostId(1) };
+    let part = ColdLimit { per_second: Some(2.0), routers: 1, router: HostId(1) };
     let mut endpoints = Endpoints::default();
     let may_send = |endpoints: &Endpoints, now| {
         endpoints.choose(now, std::iter::once(&cold), &[], ANY, part).is_some()
@@ -375,11 +375,11 @@
     let mut cold = endpoint("a");
     cold.warmup_ms = 3_000;
     for router in 0..300 {
-        let part = ColdPart { per_second: Some(6.1), routers: 63, router: HostId(router) };
-        let alone = part.left_to_placer(true);
+        let part = ColdLimit { per_second: Some(6.1), routers: 63, router: HostId(router) };
+        let alone = part.reserved_for_placer(true);
         assert!(Endpoints::default().choose(0, [&cold].into_iter(), &[], ANY, alone).is_none());
     }
-    let without_bound = ANY_COLD.left_to_placer(true);
+    let without_bound = ANY_COLD.reserved_for_placer(true);
     let choice = Endpoints::default().choose(0, [&cold].into_iter(), &[], ANY, without_bound);
     assert!(choice.is_some());
 }
--- a/tests/rests/ways.rs
+++ b/tests/rests/ways.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use bramblecrank::gateway::{ColdPart, Endpoints, Failure, Preference};
+use bramblecrank::gateway::{ColdLimit, Endpoints, Failure, Preference};
 use bramblecrank::registry::Registration;
 use bramblecrank::wire::HostId;
 
 /// Milliseconds in which a share grows back in [`Way::Ramp`].
 const RAMP_MS: u64 = 1_000;
-const ANY_COLD: ColdPart = ColdPart { per_second: None, routers: 1, router: HostId(1) };
+const ANY_COLD: ColdLimit = ColdLimit { per_second: None, routers: 1, router: HostId(1) };
 
 /// A way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
