--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -33,7 +33,7 @@
 mod tests;
 
 pub use budget::{BudgetRules, RetryBudgets};
-pub use endpoints::{ColdLimit, Endpoints, Failure, Preference};
+pub use endpoints::{ColdLimit, EndpointTracker, Failure, Preference};
 pub use events::EventSplitter;
 pub use header_names::{AnswerHead, CallHead, Forwarding, HeaderNames, PromptPart};
 pub use neighbours::Neighbours;
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -96,12 +96,12 @@
 
 /// What this router has seen of each endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Endpoints {
+pub struct EndpointTracker {
     seen: HashMap<String, Seen>,
     unattributed: UnattributedNotices,
 }
 
-impl Endpoints {
+impl EndpointTracker {
     /// Chooses among `ready`, leaving out those in `tried`. Requests with the same
     /// affinity go to the same few endpoints as long as these have no more to do than
     /// others; all else goes where least is under way, ties by a random number: most
--- a/src/gateway/nearby.rs
+++ b/src/gateway/nearby.rs
@@ -1,7 +1,7 @@
 //! Regions, as a router minds them: which of its endpoints are near, and where a
 //! request may be served by now.
 
-use super::endpoints::{ColdLimit, Endpoints, Preference};
+use super::endpoints::{ColdLimit, EndpointTracker, Preference};
 use super::refusal::Refusal;
 use super::request::Call;
 use super::state::Gateway;
@@ -9,8 +9,8 @@
 use crate::region::AllowedRegions;
 use crate::registry::Registration;
 
-impl Endpoints {
-    /// Chooses as [`Endpoints::choose`] does, first among those that are near and calm:
+impl EndpointTracker {
+    /// Chooses as [`EndpointTracker::choose`] does, first among those that are near and calm:
     /// others are some milliseconds away, behind a link that all traffic shares.
     pub fn choose_near<'a>(
         &self,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -9,7 +9,7 @@
 
 use super::budget::RetryBudgets;
 use super::connections::Connections;
-use super::endpoints::{ColdLimit, Endpoints, Failure};
+use super::endpoints::{ColdLimit, EndpointTracker, Failure};
 use super::header_names::HeaderNames;
 use super::neighbours::Neighbours;
 use super::observed::Observed;
@@ -56,7 +56,7 @@
     pub metrics: GatewayMetrics,
     /// Begins a planned stop.
     pub stop: CancellationToken,
-    pub(super) endpoints: Mutex<Endpoints>,
+    pub(super) endpoints: Mutex<EndpointTracker>,
     /// Endpoints that are being asked whether they take work.
     start_checks: Mutex<BTreeSet<String>>,
     /// Notified when such an endpoint has answered.
@@ -134,7 +134,7 @@
     }
 
     /// Works on what was seen of endpoints.
-    pub(super) fn with_endpoints<T>(&self, f: impl FnOnce(&mut Endpoints) -> T) -> T {
+    pub(super) fn with_endpoints<T>(&self, f: impl FnOnce(&mut EndpointTracker) -> T) -> T {
         f(&mut self.endpoints.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -42,7 +42,7 @@
     let mut chosen = std::collections::BTreeMap::new();
     for router in 0..1_000 {
         let preference = Preference::Random(router);
-        let idle = Endpoints::default();
+        let idle = EndpointTracker::default();
         let id = &idle.choose(0, ready.iter(), &[], preference, ANY_COLD).unwrap().id;
         *chosen.entry(id.clone()).or_insert(0) += 1;
     }
@@ -53,7 +53,7 @@
 fn requests_with_the_same_prompt_go_to_the_same_endpoint() {
     let ready = ["a", "b", "c", "d", "e"].map(endpoint);
     let choose = |affinity| {
-        let idle = Endpoints::default();
+        let idle = EndpointTracker::default();
         let chosen = idle.choose(0, ready.iter(), &[], Preference::Affinity(affinity), ANY_COLD);
         chosen.unwrap().id.clone()
     };
@@ -65,7 +65,7 @@
 #[test]
 fn the_least_loaded_endpoint_that_was_not_tried_is_chosen() {
     let ready = [endpoint("a"), endpoint("b"), endpoint("c")];
-    let mut endpoints = Endpoints::default();
+    let mut endpoints = EndpointTracker::default();
     endpoints.begin(0, "a", 0, 0);
     endpoints.begin(0, "b", 0, 0);
     let chosen = endpoints.choose(0, ready.iter(), &[], ANY, ANY_COLD).unwrap();
@@ -92,7 +92,7 @@
 #[test]
 fn an_endpoint_that_cannot_be_reached_is_avoided_and_tried_again() {
     let ready = [endpoint("a"), endpoint("b")];
-    let mut endpoints = Endpoints::default();
+    let mut endpoints = EndpointTracker::default();
     endpoints.begin(0, "b", 0, 0);
     let avoided = endpoints.failed(0, "a", 0, Failure::Unreachable);
     assert!(avoided > 0);
@@ -105,14 +105,14 @@
 #[test]
 fn an_endpoint_whose_address_another_holds_is_never_chosen_again() {
     let ready = [endpoint("a")];
-    let mut endpoints = Endpoints::default();
+    let mut endpoints = EndpointTracker::default();
     endpoints.failed(0, "a", 0, Failure::Replaced);
     assert!(endpoints.choose(1_000_000, ready.iter(), &[], ANY, ANY_COLD).is_none());
 }
 
 #[test]
 fn one_error_may_be_chance_and_two_in_a_row_are_not() {
-    let mut endpoints = Endpoints::default();
+    let mut endpoints = EndpointTracker::default();
     assert_eq!(endpoints.failed(0, "a", 0, Failure::Failed), 0);
     endpoints.succeeded(0, "a", 0);
     assert_eq!(endpoints.failed(1, "a", 0, Failure::Failed), 0);
@@ -295,7 +295,7 @@
         for router in 0..routers {
             let router = HostId(router as u32);
             let part = ColdLimit { per_second: Some(20.0), routers, router };
-            let mut endpoints = Endpoints::default();
+            let mut endpoints = EndpointTracker::default();
             for now in 0..1_000 {
                 let ready = std::iter::once(&cold);
                 if endpoints.choose(now, ready, &[], ANY, part).is_some() {
@@ -313,7 +313,7 @@
     let mut cold = endpoint("a");
     cold.warmup_ms = 3_000;
     let part = ColdLimit { per_second: Some(1.0), routers: 1, router: HostId(1) };
-    let mut endpoints = Endpoints::default();
+    let mut endpoints = EndpointTracker::default();
     endpoints.begin(10, "a", 0, 0);
     let choose = |now, endpoint: &Registration| {
         endpoints.choose(now, std::iter::once(endpoint), &[], ANY, part).is_some()
@@ -328,8 +328,8 @@
 fn what_was_sent_before_a_cold_start_was_known_counts_for_it() {
     let cold = Registration { started_at_ms: 2_000, warmup_ms: 3_000, ..endpoint("a") };
     let part = ColdLimit { per_second: Some(2.0), routers: 1, router: HostId(1) };
-    let mut endpoints = Endpoints::default();
-    let may_send = |endpoints: &Endpoints, now| {
+    let mut endpoints = EndpointTracker::default();
+    let may_send = |endpoints: &EndpointTracker, now| {
         endpoints.choose(now, std::iter::once(&cold), &[], ANY, part).is_some()
     };
     endpoints.begin(10, "a", 1_000, 0);
@@ -377,17 +377,19 @@
     for router in 0..300 {
         let part = ColdLimit { per_second: Some(6.1), routers: 63, router: HostId(router) };
         let alone = part.reserved_for_placer(true);
-        assert!(Endpoints::default().choose(0, [&cold].into_iter(), &[], ANY, alone).is_none());
+        assert!(
+            EndpointTracker::default().choose(0, [&cold].into_iter(), &[], ANY, alone).is_none()
+        );
     }
     let without_bound = ANY_COLD.reserved_for_placer(true);
-    let choice = Endpoints::default().choose(0, [&cold].into_iter(), &[], ANY, without_bound);
+    let choice = EndpointTracker::default().choose(0, [&cold].into_iter(), &[], ANY, without_bound);
     assert!(choice.is_some());
 }
 
 #[test]
 fn what_was_seen_of_an_earlier_start_says_nothing_of_a_later_one() {
     let again = [Registration { started_at_ms: 2_000, ..endpoint("a") }];
-    let mut endpoints = Endpoints::default();
+    let mut endpoints = EndpointTracker::default();
     endpoints.begin(0, "a", 1_000, 500);
     endpoints.failed(0, "a", 1_000, Failure::Replaced);
     assert!(endpoints.choose(0, again.iter(), &[], ANY, ANY_COLD).is_some());
--- a/tests/rests/ways.rs
+++ b/tests/rests/ways.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use bramblecrank::gateway::{ColdLimit, Endpoints, Failure, Preference};
+use bramblecrank::gateway::{ColdLimit, EndpointTracker, Failure, Preference};
 use bramblecrank::registry::Registration;
 use bramblecrank::wire::HostId;
 
@@ -26,7 +26,7 @@
 /// One router.
 pub struct Router {
     way: Way,
-    endpoints: Endpoints,
+    endpoints: EndpointTracker,
     /// Endpoints whose rest was asked for, and those whose share grows back, since when.
     resting: Vec<String>,
     growing: BTreeMap<String, u64>,
@@ -35,7 +35,7 @@
 impl Router {
     pub fn new(way: Way) -> Router {
         let (resting, growing) = (Vec::new(), BTreeMap::new());
-        Router { way, endpoints: Endpoints::default(), resting, growing }
+        Router { way, endpoints: EndpointTracker::default(), resting, growing }
     }
 
     /// The number of the endpoint that a request goes to.
