--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -155,7 +155,7 @@
     }
 
     /// An answer came on a connection that was opened while this start was the latest known.
-    pub fn heard(&mut self, now: Millis, endpoint: &Registration, notice: &Notice) {
+    pub fn record_notice(&mut self, now: Millis, endpoint: &Registration, notice: &Notice) {
         if endpoint.revivals > 0
             && let Some(seen) = self.seen_of(&endpoint.id, endpoint.started_at_ms)
         {
@@ -226,7 +226,7 @@
     }
 
     /// A request was sent to an endpoint that started at `started_at_ms`.
-    pub fn begin(&mut self, now: Millis, id: &str, started_at_ms: u64, prompt_tokens: u32) {
+    pub fn record_sent(&mut self, now: Millis, id: &str, started_at_ms: u64, prompt_tokens: u32) {
         let Some(seen) = self.seen_of(id, started_at_ms) else { return };
         while seen.sent.front().is_some_and(|at| at + SENT_WINDOW_MS <= now) {
             seen.sent.pop_front();
@@ -238,7 +238,7 @@
     }
 
     /// Its prompt has been read: the first event came.
-    pub fn begun(&mut self, id: &str, started_at_ms: u64, prompt_tokens: u32) {
+    pub fn record_first_event(&mut self, id: &str, started_at_ms: u64, prompt_tokens: u32) {
         if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
         {
             seen.prompt_tokens = seen.prompt_tokens.saturating_sub(u64::from(prompt_tokens));
@@ -246,7 +246,7 @@
     }
 
     /// A request has ended.
-    pub fn end(&mut self, id: &str, started_at_ms: u64) {
+    pub fn record_end(&mut self, id: &str, started_at_ms: u64) {
         if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
         {
             seen.in_flight = seen.in_flight.saturating_sub(1);
@@ -255,7 +255,7 @@
     }
 
     /// A request was answered.
-    pub fn succeeded(&mut self, now: Millis, id: &str, started_at_ms: u64) {
+    pub fn record_success(&mut self, now: Millis, id: &str, started_at_ms: u64) {
         if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
         {
             seen.failures = 0;
@@ -265,14 +265,14 @@
     }
 
     /// It turned a request away and asked for so many milliseconds of rest.
-    pub fn asked_for_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
+    pub fn record_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
         if let Some(seen) = self.seen_of(id, started_at_ms) {
             seen.rest.ask(now, time);
         }
     }
 
     /// A request failed; returns for how long the endpoint is avoided.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         now: Millis,
         id: &str,
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -48,7 +48,7 @@
     /// while `endpoint` was the latest start known.
     pub(super) fn take_notice(self: &Arc<Self>, endpoint: &Registration, notice: &Notice) {
         let now = self.now();
-        self.with_endpoints(|endpoints| endpoints.heard(now, endpoint, notice));
+        self.with_endpoints(|endpoints| endpoints.record_notice(now, endpoint, notice));
         if notice.leaves {
             self.count_notice(endpoint, "leaves");
             self.leaves(EndpointStart::of(endpoint));
@@ -95,7 +95,7 @@
     fn rests(&self, endpoint: &Registration, time: Millis) {
         let now = self.now();
         let (id, started_at_ms) = (&endpoint.id, endpoint.started_at_ms);
-        self.with_endpoints(|endpoints| endpoints.asked_for_rest(now, id, started_at_ms, time));
+        self.with_endpoints(|endpoints| endpoints.record_rest(now, id, started_at_ms, time));
         self.placements.rest(StartOf { endpoint: id, started_at_ms }, time);
     }
 
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -192,13 +192,13 @@
     /// An endpoint answered a request.
     pub(super) fn note_success(&self, endpoint: &Registration) {
         let now = self.now();
-        self.with_endpoints(|e| e.succeeded(now, &endpoint.id, endpoint.started_at_ms));
+        self.with_endpoints(|e| e.record_success(now, &endpoint.id, endpoint.started_at_ms));
     }
 
     /// A request failed at an endpoint.
     pub(super) fn note_failure(&self, id: &str, started_at_ms: u64, failure: Failure) {
         let now = self.now();
-        let avoided = self.with_endpoints(|e| e.failed(now, id, started_at_ms, failure));
+        let avoided = self.with_endpoints(|e| e.record_failure(now, id, started_at_ms, failure));
         if avoided > 0 {
             log::info!("gateway: endpoint {id} avoided for {avoided} ms: {failure:?}");
         }
@@ -306,7 +306,7 @@
     ) -> Ticket {
         let now = gateway.now();
         let (endpoint, started_at_ms) = (endpoint.id.clone(), endpoint.started_at_ms);
-        gateway.with_endpoints(|e| e.begin(now, &endpoint, started_at_ms, prompt_tokens));
+        gateway.with_endpoints(|e| e.record_sent(now, &endpoint, started_at_ms, prompt_tokens));
         let gateway = gateway.clone();
         Ticket {
             gateway,
@@ -323,7 +323,9 @@
     pub fn begun(&mut self) {
         if !std::mem::replace(&mut self.begun, true) {
             let tokens = self.prompt_tokens;
-            self.gateway.with_endpoints(|e| e.begun(&self.endpoint, self.started_at_ms, tokens));
+            self.gateway.with_endpoints(|e| {
+                e.record_first_event(&self.endpoint, self.started_at_ms, tokens)
+            });
             self.observed.answered();
             if let Some(reservation) = &mut self.reservation {
                 reservation.begun();
@@ -348,8 +350,9 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         let tokens = if self.begun { 0 } else { self.prompt_tokens };
-        self.gateway.with_endpoints(|e| e.begun(&self.endpoint, self.started_at_ms, tokens));
-        self.gateway.with_endpoints(|e| e.end(&self.endpoint, self.started_at_ms));
+        self.gateway
+            .with_endpoints(|e| e.record_first_event(&self.endpoint, self.started_at_ms, tokens));
+        self.gateway.with_endpoints(|e| e.record_end(&self.endpoint, self.started_at_ms));
     }
 }
 
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -66,8 +66,8 @@
 fn the_least_loaded_endpoint_that_was_not_tried_is_chosen() {
     let ready = [endpoint("a"), endpoint("b"), endpoint("c")];
     let mut endpoints = EndpointTracker::default();
-    endpoints.begin(0, "a", 0, 0);
-    endpoints.begin(0, "b", 0, 0);
+    endpoints.record_sent(0, "a", 0, 0);
+    endpoints.record_sent(0, "b", 0, 0);
     let chosen = endpoints.choose(0, ready.iter(), &[], ANY, ANY_COLD).unwrap();
     assert_eq!(chosen.id, "c");
     let chosen =
@@ -93,8 +93,8 @@
 fn an_endpoint_that_cannot_be_reached_is_avoided_and_tried_again() {
     let ready = [endpoint("a"), endpoint("b")];
     let mut endpoints = EndpointTracker::default();
-    endpoints.begin(0, "b", 0, 0);
-    let avoided = endpoints.failed(0, "a", 0, Failure::Unreachable);
+    endpoints.record_sent(0, "b", 0, 0);
+    let avoided = endpoints.record_failure(0, "a", 0, Failure::Unreachable);
     assert!(avoided > 0);
     assert_eq!(endpoints.choose(0, ready.iter(), &[], ANY, ANY_COLD).unwrap().id, "b");
     assert_eq!(endpoints.choose(avoided, ready.iter(), &[], ANY, ANY_COLD).unwrap().id, "a");
@@ -106,17 +106,17 @@
 fn an_endpoint_whose_address_another_holds_is_never_chosen_again() {
     let ready = [endpoint("a")];
     let mut endpoints = EndpointTracker::default();
-    endpoints.failed(0, "a", 0, Failure::Replaced);
+    endpoints.record_failure(0, "a", 0, Failure::Replaced);
     assert!(endpoints.choose(1_000_000, ready.iter(), &[], ANY, ANY_COLD).is_none());
 }
 
 #[test]
 fn one_error_may_be_chance_and_two_in_a_row_are_not() {
     let mut endpoints = EndpointTracker::default();
-    assert_eq!(endpoints.failed(0, "a", 0, Failure::Failed), 0);
-    endpoints.succeeded(0, "a", 0);
-    assert_eq!(endpoints.failed(1, "a", 0, Failure::Failed), 0);
-    assert!(endpoints.failed(2, "a", 0, Failure::Failed) > 0);
+    assert_eq!(endpoints.record_failure(0, "a", 0, Failure::Failed), 0);
+    endpoints.record_success(0, "a", 0);
+    assert_eq!(endpoints.record_failure(1, "a", 0, Failure::Failed), 0);
+    assert!(endpoints.record_failure(2, "a", 0, Failure::Failed) > 0);
 }
 
 #[test]
@@ -299,7 +299,7 @@
             for now in 0..1_000 {
                 let ready = std::iter::once(&cold);
                 if endpoints.choose(now, ready, &[], ANY, part).is_some() {
-                    endpoints.begin(now, "cold", 0, 0);
+                    endpoints.record_sent(now, "cold", 0, 0);
                     sent += 1;
                 }
             }
@@ -314,7 +314,7 @@
     cold.warmup_ms = 3_000;
     let part = ColdLimit { per_second: Some(1.0), routers: 1, router: HostId(1) };
     let mut endpoints = EndpointTracker::default();
-    endpoints.begin(10, "a", 0, 0);
+    endpoints.record_sent(10, "a", 0, 0);
     let choose = |now, endpoint: &Registration| {
         endpoints.choose(now, std::iter::once(endpoint), &[], ANY, part).is_some()
     };
@@ -332,9 +332,9 @@
     let may_send = |endpoints: &EndpointTracker, now| {
         endpoints.choose(now, std::iter::once(&cold), &[], ANY, part).is_some()
     };
-    endpoints.begin(10, "a", 1_000, 0);
+    endpoints.record_sent(10, "a", 1_000, 0);
     assert!(may_send(&endpoints, 11));
-    endpoints.begin(12, "a", 2_000, 0);
+    endpoints.record_sent(12, "a", 2_000, 0);
     assert!(!may_send(&endpoints, 13));
     assert!(may_send(&endpoints, 1_010));
 }
@@ -390,15 +390,15 @@
 fn what_was_seen_of_an_earlier_start_says_nothing_of_a_later_one() {
     let again = [Registration { started_at_ms: 2_000, ..endpoint("a") }];
     let mut endpoints = EndpointTracker::default();
-    endpoints.begin(0, "a", 1_000, 500);
-    endpoints.failed(0, "a", 1_000, Failure::Replaced);
+    endpoints.record_sent(0, "a", 1_000, 500);
+    endpoints.record_failure(0, "a", 1_000, Failure::Replaced);
     assert!(endpoints.choose(0, again.iter(), &[], ANY, ANY_COLD).is_some());
-    endpoints.begin(0, "a", 2_000, 500);
+    endpoints.record_sent(0, "a", 2_000, 500);
     // What ends now was sent to the earlier start.
-    endpoints.end("a", 1_000);
-    assert_eq!(endpoints.failed(1, "a", 1_000, Failure::Replaced), 0);
+    endpoints.record_end("a", 1_000);
+    assert_eq!(endpoints.record_failure(1, "a", 1_000, Failure::Replaced), 0);
     let other = [again[0].clone(), endpoint("b")];
     assert_eq!(endpoints.choose(1, other.iter(), &[], ANY, ANY_COLD).unwrap().id, "b");
-    endpoints.end("a", 2_000);
+    endpoints.record_end("a", 2_000);
     assert!(endpoints.choose(1, again.iter(), &[], ANY, ANY_COLD).is_some());
 }
--- a/tests/rests/ways.rs
+++ b/tests/rests/ways.rs
@@ -73,7 +73,7 @@
             let registration = ready.iter().find(|r| r.id == *id).unwrap();
             let rests = endpoints.rest_left(now, registration).is_some();
             if !rests {
-                endpoints.succeeded(now, id, 0);
+                endpoints.record_success(now, id, 0);
                 growing.insert(id.clone(), now);
             }
             rests
@@ -81,26 +81,26 @@
     }
 
     pub fn begin(&mut self, now: u64, id: &str) {
-        self.endpoints.begin(now, id, 0, 0);
+        self.endpoints.record_sent(now, id, 0, 0);
     }
 
     pub fn served(&mut self, now: u64, id: &str) {
-        self.endpoints.succeeded(now, id, 0);
-        self.endpoints.end(id, 0);
+        self.endpoints.record_success(now, id, 0);
+        self.endpoints.record_end(id, 0);
     }
 
     pub fn turned_away(&mut self, now: u64, id: &str, time: u64) {
         match self.way {
             Way::Failure => {
-                self.endpoints.failed(now, id, 0, Failure::Rejected);
+                self.endpoints.record_failure(now, id, 0, Failure::Rejected);
             }
             Way::Obey | Way::Ramp | Way::Trial => {
-                self.endpoints.asked_for_rest(now, id, 0, time);
+                self.endpoints.record_rest(now, id, 0, time);
                 if !self.resting.iter().any(|known| known == id) {
                     self.resting.push(id.to_string());
                 }
             }
         }
-        self.endpoints.end(id, 0);
+        self.endpoints.record_end(id, 0);
     }
 }
