--- a/src/dispatch/dispatcher/service.rs
+++ b/src/dispatch/dispatcher/service.rs
@@ -1,8 +1,8 @@
 //! Who is served next, and what it is charged.
 
 use super::{
-    CustomerId, Decision, Dispatcher, Ending, EndpointId, Granted, HostId, Millis, VIRTUAL_SCALE,
-    Waited, Waiting,
+    Completion, CustomerId, Decision, Dispatcher, EndpointId, Granted, HostId, Millis,
+    VIRTUAL_SCALE, Waited, Waiting,
 };
 use crate::dispatch::account::blend;
 
@@ -55,7 +55,7 @@
         self.accounts.advance(before);
         let charged = self.predicted(customer, request.input);
         self.charge(customer, charged);
-        let patience_ms = self.capacity.grant_patience(endpoint);
+        let max_delay_ms = self.capacity.max_grant_delay(endpoint);
         self.capacity.acquire(now, router, endpoint, &request.prefix);
         let after = self.accounts.entry(customer).counter;
         let granted = Granted { customer, endpoint, input: request.input, charged, since: now };
@@ -67,7 +67,7 @@
             endpoint,
             charged,
             lead: after.saturating_sub(self.accounts.floor()) / VIRTUAL_SCALE,
-            patience_ms,
+            max_delay_ms,
             waited,
         }
     }
@@ -108,7 +108,7 @@
         router: HostId,
         seq: u64,
         units: u32,
-        ending: Ending,
+        completion: Completion,
         out: &mut Vec<Decision>,
     ) {
         let Some(granted) = self.granted.remove(&(router, seq)) else {
@@ -116,13 +116,13 @@
         };
         self.capacity.release(router, granted.endpoint);
         self.settle(&granted, units);
-        match ending {
-            Ending::Answered => self.learn(now, router, &granted, units),
-            Ending::Unused => {}
-            Ending::Failed => {
+        match completion {
+            Completion::Answered => self.learn(now, router, &granted, units),
+            Completion::Unused => {}
+            Completion::Failed => {
                 let for_ms = self.capacity.failed(now, router, granted.endpoint);
                 let endpoint = granted.endpoint;
-                out.push(Decision::LeftOut { router, endpoint, for_ms });
+                out.push(Decision::Exclude { router, endpoint, for_ms });
             }
         }
     }
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::config::{Config, CustomerId, EndpointId, HallId, HallSet, ServiceId};
-use crate::wire::{Ending, HostId, RefuseReason, ToDispatcher, Want};
+use crate::wire::{Completion, GrantRequest, HostId, RefuseReason, ToDispatcher};
 
 const ROUTER: HostId = HostId(1);
 
@@ -66,14 +66,14 @@
 
     fn want_within(&mut self, customer: u32, input: u32, start_within_ms: u32) -> Vec<Decision> {
         self.seq += 1;
-        let want = Want {
+        let want = GrantRequest {
             seq: self.seq,
             customer: CustomerId(customer),
             input,
             start_within_ms,
             prefix: vec![],
         };
-        self.send(ToDispatcher::Want(want))
+        self.send(ToDispatcher::GrantRequest(want))
     }
 
     fn send(&mut self, message: ToDispatcher) -> Vec<Decision> {
@@ -81,7 +81,7 @@
     }
 
     fn done(&mut self, seq: u64, units: u32) -> Vec<Decision> {
-        self.send(ToDispatcher::Done { seq, units, ending: Ending::Answered })
+        self.send(ToDispatcher::Done { seq, units, completion: Completion::Answered })
     }
 
     fn wait(&mut self, ms: Millis) -> Vec<Decision> {
@@ -257,9 +257,14 @@
     bench.send(ToDispatcher::Reach(HallSet::default().with(HallId(0))));
     bench.join(HostId(2), 5, HallSet::default().with(HallId(1)), false, vec![]);
     (0..10).for_each(|_| drop(bench.want(0, 1)));
-    let want =
-        Want { seq: 1, customer: CustomerId(0), input: 1, start_within_ms: 60_000, prefix: vec![] };
-    let decisions = bench.dispatcher.receive(0, HostId(2), 5, ToDispatcher::Want(want));
+    let want = GrantRequest {
+        seq: 1,
+        customer: CustomerId(0),
+        input: 1,
+        start_within_ms: 60_000,
+        prefix: vec![],
+    };
+    let decisions = bench.dispatcher.receive(0, HostId(2), 5, ToDispatcher::GrantRequest(want));
     assert_eq!(grants(&decisions), [(0, 1, 1)]);
 }
 
@@ -278,8 +283,8 @@
 fn a_failing_endpoint_is_left_out_and_probed_back_in() {
     let mut bench = Bench::new(config(&[1], &[(0, 1), (0, 1)], 10));
     let first = grants(&bench.want(0, 1))[0];
-    let failed = Ending::Failed;
-    bench.send(ToDispatcher::Done { seq: first.1, units: 0, ending: failed });
+    let failed = Completion::Failed;
+    bench.send(ToDispatcher::Done { seq: first.1, units: 0, completion: failed });
     let second = grants(&bench.want(0, 1))[0];
     assert_ne!(second.2, first.2);
     bench.done(second.1, 1);
@@ -293,14 +298,14 @@
     let mut bench = Bench::new(config(&[1], &[(0, 4), (0, 4), (0, 4)], 10));
     let mut ask = |prefix: Vec<u32>| {
         bench.seq += 1;
-        let want = Want {
+        let want = GrantRequest {
             seq: bench.seq,
             customer: CustomerId(0),
             input: 1,
             start_within_ms: 1_000,
             prefix,
         };
-        grants(&bench.send(ToDispatcher::Want(want)))[0].2
+        grants(&bench.send(ToDispatcher::GrantRequest(want)))[0].2
     };
     let first = ask(vec![11, 12]);
     let other = ask(vec![21]);
@@ -313,7 +318,7 @@
 fn a_frozen_dispatcher_forgets_what_it_held() {
     let mut bench = Bench::new(config(&[1], &[(0, 1)], 10));
     (0..5).for_each(|_| drop(bench.want(0, 1)));
-    bench.now += THAW_MS;
+    bench.now += STALL_RESET_MS;
     let decisions = bench.dispatcher.tick(bench.now);
     assert!(matches!(decisions[..], [Decision::Reset { .. }]));
     let snapshot = bench.dispatcher.snapshot();
@@ -324,7 +329,7 @@
 fn a_lost_routers_slots_are_freed_and_its_wants_forgotten() {
     let mut bench = Bench::new(config(&[1], &[(0, 1)], 10));
     (0..5).for_each(|_| drop(bench.want(0, 1)));
-    bench.dispatcher.lost(bench.now, ROUTER, 1);
+    bench.dispatcher.on_session_lost(bench.now, ROUTER, 1);
     assert!(bench.dispatcher.snapshot().waiting.is_empty());
     assert_eq!(bench.dispatcher.snapshot().running, 2, "they may still be running");
     bench.wait(ORPHAN_MS);
@@ -344,7 +349,7 @@
 fn a_router_that_restarts_with_its_clock_set_back_is_served() {
     let mut bench = Bench::new(config(&[1], &[(0, 1)], 10));
     bench.join(ROUTER, 9, HallSet::ALL, false, vec![]);
-    bench.dispatcher.lost(bench.now, ROUTER, 9);
+    bench.dispatcher.on_session_lost(bench.now, ROUTER, 9);
     // Session numbers begin with the time of day at the start of the process.
     bench.join(ROUTER, 1, HallSet::ALL, false, vec![]);
     assert_eq!(grants(&bench.want(0, 1)), [(0, 1, 0)]);
