--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -9,8 +9,8 @@
 use super::state::Gateway;
 use crate::dispatch::Millis;
 use crate::notice::{Notice, RequestedRest};
-use crate::placement::StartOf;
-use crate::registry::{EndpointStart, Hearing, Registration};
+use crate::placement::EndpointStartRef;
+use crate::registry::{EndpointStart, Origin, Registration};
 
 impl Call {
     /// Takes in what the head of an answer says of its endpoint, whatever became of the
@@ -25,7 +25,7 @@
         if status == StatusCode::MISDIRECTED_REQUEST {
             return false;
         }
-        let notice = self.gateway.dialect.read_notice(status, response.headers());
+        let notice = self.gateway.header_names.read_notice(status, response.headers());
         self.gateway.take_notice(endpoint, &notice);
         notice.rest.duration_ms().is_some()
     }
@@ -48,7 +48,7 @@
     /// while `endpoint` was the latest start known.
     pub(super) fn take_notice(self: &Arc<Self>, endpoint: &Registration, notice: &Notice) {
         let now = self.now();
-        self.with_endpoints(|endpoints| endpoints.heard(now, endpoint, notice));
+        self.with_endpoints(|endpoints| endpoints.record_notice(now, endpoint, notice));
         if notice.leaves {
             self.count_notice(endpoint, "leaves");
             self.leaves(EndpointStart::of(endpoint));
@@ -95,8 +95,8 @@
     fn rests(&self, endpoint: &Registration, time: Millis) {
         let now = self.now();
         let (id, started_at_ms) = (&endpoint.id, endpoint.started_at_ms);
-        self.with_endpoints(|endpoints| endpoints.asked_for_rest(now, id, started_at_ms, time));
-        self.placements.rest(StartOf { endpoint: id, started_at_ms }, time);
+        self.with_endpoints(|endpoints| endpoints.record_rest(now, id, started_at_ms, time));
+        self.placements.record_rest(EndpointStartRef { endpoint: id, started_at_ms }, time);
     }
 
     /// An endpoint told this router that it leaves. From here on that is known as if it had
@@ -104,7 +104,7 @@
     /// hears, and its answers are the only news.
     fn leaves(&self, start: EndpointStart) {
         let starts = [start];
-        if self.registry.leave(&starts, Hearing::SecondHand) {
+        if self.registry.record_leaving(&starts, Origin::Relayed) {
             log::info!("gateway: endpoint {} says in an answer that it leaves", starts[0].id);
             self.feeds.report_leaving(&starts);
         }
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -14,8 +14,8 @@
 use crate::eligibility::VersionRule;
 use crate::registry::Registration;
 use crate::rollout::{
-    ALL_PERMILLE, Cause, Grant, Release, ReleaseChoice, Rollout, Rollouts, RouterState,
-    RouterTally, Splits, side_of,
+    ALL_PERMILLE, Grant, Release, ReleaseChoice, Rollout, Rollouts, RouterState, RouterTally,
+    SplitReason, TrafficSplitter, release_of,
 };
 
 /// How often the leader is told what was seen: several times within the second in which
@@ -27,7 +27,7 @@
 /// What this router knows of the releases of its services.
 #[derive(Debug, Default)]
 pub(super) struct Releases {
-    splits: Splits,
+    splits: TrafficSplitter,
     pub tally: RouterTally,
     parts: BTreeMap<String, Part>,
 }
@@ -37,13 +37,19 @@
 struct Part {
     number: u64,
     permille: u32,
-    cause: Cause,
+    cause: SplitReason,
     logged_at: Millis,
 }
 
 impl Releases {
     /// Logs that another part of a service's requests goes to its new release.
-    fn note_part(&mut self, now: Millis, rollout: &Rollout, grant: Option<&Grant>, cause: Cause) {
+    fn note_part(
+        &mut self,
+        now: Millis,
+        rollout: &Rollout,
+        grant: Option<&Grant>,
+        cause: SplitReason,
+    ) {
         let permille = grant.map_or(0, |grant| grant.permille);
         let (number, service) = (rollout.number, &rollout.order.service);
         let part = Part { number, permille, cause, logged_at: now };
@@ -91,7 +97,7 @@
     pub(super) fn may_go_on(&self) -> bool {
         let offset = rand::rng().random();
         self.with_situation(|releases, turn, situation| {
-            releases.splits.go_on(turn, &self.route.name, offset, situation)
+            releases.splits.try_resume(turn, &self.route.name, offset, situation)
         })
     }
 
@@ -102,7 +108,7 @@
             return;
         }
         if let Some(number) = self.number_of(|rollout| rollout.order.version == version) {
-            self.turn().failed_at_new(number);
+            self.turn().record_failure_at_new(number);
         }
     }
 
@@ -115,7 +121,7 @@
         let Some(number) = number else { return false };
         let is_refused = matches!(place, Place::TooLate(_));
         let may_leave = !is_refused || self.is_of_a_part(rule);
-        may_leave && self.turn().no_place_at_new(number)
+        may_leave && self.turn().record_no_place_at_new(number)
     }
 
     /// Whether it is of the part that goes to a new release while others go elsewhere.
@@ -159,7 +165,7 @@
         let allowed = self.regions_by_now();
         let regions = &self.gateway.settings.host.regions;
         let may_run = |endpoint: &Registration| {
-            side_of(rollout, &endpoint.version) == Release::Old
+            release_of(rollout, &endpoint.version) == Release::Old
                 && allowed.allows(regions.of(&endpoint.hall))
         };
         self.gateway.registry.read(|registry| registry.ready(&self.service).any(may_run))
@@ -176,7 +182,7 @@
     let is_under_way = |table: &Arc<Rollouts>| table.all().any(|r| !r.stage.is_final());
     while table.wait_for(is_under_way).await.is_ok() {
         let known = gateway.rollouts.table();
-        let report = gateway.with_releases(|releases| releases.tally.take(&known));
+        let report = gateway.with_releases(|releases| releases.tally.take_report(&known));
         if !gateway.feeds.report_rollouts(report.clone()) {
             gateway.with_releases(|releases| releases.tally.put_back(report));
         }
--- a/src/placement/client/reservation.rs
+++ b/src/placement/client/reservation.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use super::{Placements, lock};
-use crate::placement::message::{Ending, ToPlacer};
+use super::{PlacementClient, lock};
+use crate::placement::message::{Completion, ToPlacer};
 
 /// A place at an endpoint, given back when dropped.
 #[derive(Debug)]
@@ -13,14 +13,14 @@
     /// The id of an endpoint from which it should copy prompt parts.
     pub copy_from: Option<String>,
     pub(super) seq: u64,
-    pub(super) placements: Arc<Placements>,
-    pub(super) ending: Ending,
+    pub(super) placements: Arc<PlacementClient>,
+    pub(super) completion: Completion,
     pub(super) begun: bool,
 }
 
 impl Reservation {
     /// The first event came.
-    pub fn begun(&mut self) {
+    pub fn record_first_event(&mut self) {
         if !std::mem::replace(&mut self.begun, true) {
             let told = lock(&self.placements.memory).begun(self.seq);
             self.placements.tell(&told, &ToPlacer::Begun { seq: self.seq });
@@ -28,14 +28,14 @@
     }
 
     /// Says how the request ended; otherwise it counts as abandoned.
-    pub fn set_ending(&mut self, ending: Ending) {
-        self.ending = ending;
+    pub fn set_completion(&mut self, completion: Completion) {
+        self.completion = completion;
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
         let told = lock(&self.placements.memory).ended(self.seq);
-        self.placements.tell(&told, &ToPlacer::Done { seq: self.seq, ending: self.ending });
+        self.placements.tell(&told, &ToPlacer::Done { seq: self.seq, completion: self.completion });
     }
 }
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -13,7 +13,7 @@
 use crate::loop_lag::LoopLag;
 use crate::peer::{Incoming, Peers};
 use crate::registry::SharedRegistry;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::testing::{peer_address, publication_of_leader, start_peers, wait_until};
 use crate::wire::{Open, Role, write_frame};
 
@@ -78,7 +78,7 @@
 }
 
 /// A router with a session to one control host.
-async fn start(first: u8, feeds: usize, silent: usize) -> (ControlHost, Arc<Placements>) {
+async fn start(first: u8, feeds: usize, silent: usize) -> (ControlHost, Arc<PlacementClient>) {
     let (peers, incoming) = start_peers(Role::Control, first, vec![]).await;
     let host = ControlHost {
         peers,
@@ -89,7 +89,7 @@
     };
     tokio::spawn(host.clone().serve(incoming));
     let (router, _) = start_peers(Role::Router, first + 1, vec![peer_address(first)]).await;
-    let documents = Arc::new(Documents::default());
+    let documents = Arc::new(CurrentRouting::default());
     let registry = Arc::new(SharedRegistry::default());
     let followed = Followed {
         documents: documents.clone(),
@@ -98,7 +98,8 @@
     };
     let followed = Subscriptions::start(router.clone(), followed, "a", Role::Router);
     let local = LocalPlacer::new(router.me, router.clock, documents, registry, Default::default());
-    let placements = Placements::start(router, followed, local, "a".into(), LoopLag::default());
+    let placements =
+        PlacementClient::start(router, followed, local, "a".into(), LoopLag::default());
     wait_until(|| host.sessions_taken.load(Ordering::SeqCst) > 0).await;
     (host, placements)
 }
@@ -107,7 +108,10 @@
 async fn a_session_that_answers_nothing_is_opened_anew() {
     let (_host, placements) = start(101, usize::MAX, 1).await;
     let asking = async {
-        while !matches!(placements.place(PlacementRequest::default()).await, Placed::Refused(_)) {
+        while !matches!(
+            placements.place(PlacementRequest::default()).await,
+            PlacementOutcome::Refused(_)
+        ) {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     };
--- a/src/quarantine/tests/starts.rs
+++ b/src/quarantine/tests/starts.rs
@@ -1,7 +1,7 @@
 //! Endpoints that crash and answer again before their new start is known.
 
 use super::*;
-use crate::registry::{EndpointState, Hearing, Registration, Registry, Scope};
+use crate::registry::{EndpointState, Origin, Registration, Registry, Scope};
 
 const ROUTER: HostId = HostId(1);
 const OTHER: HostId = HostId(2);
@@ -102,13 +102,13 @@
         last_change = changes.upto;
         known.apply_changes(&changes.endpoints)
     };
-    registry.merge(registration(1, EndpointState::Ready), Hearing::FirstHand);
+    registry.merge(registration(1, EndpointState::Ready), Origin::Direct);
     assert_eq!(events(&registry), [StartEvent::Started(of(1, 1))]);
-    registry.merge(registration(1, EndpointState::Leaving), Hearing::FirstHand);
+    registry.merge(registration(1, EndpointState::Leaving), Origin::Direct);
     assert_eq!(events(&registry), []);
-    registry.merge(registration(2, EndpointState::Ready), Hearing::FirstHand);
+    registry.merge(registration(2, EndpointState::Ready), Origin::Direct);
     assert_eq!(events(&registry), [StartEvent::Started(of(1, 2))]);
-    registry.merge(Registration::gone("e-1"), Hearing::FirstHand);
+    registry.merge(Registration::gone("e-1"), Origin::Direct);
     assert_eq!(events(&registry), [StartEvent::Gone("e-1".into())]);
     assert_eq!(events(&registry), []);
 }
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -55,12 +55,12 @@
     assert_eq!(shared.check().unwrap_err().field, "customers.b.keys");
     shared.customers[1].keys = vec!["k3".into()];
     assert!(shared.check().is_ok());
-    assert_eq!(Routing::new(shared).customer("k3").unwrap().name, "b");
+    assert_eq!(Routing::new(shared).customer_by_key("k3").unwrap().name, "b");
 }
 
 #[test]
 fn an_older_document_never_replaces_a_newer_one() {
-    let documents = Documents::default();
+    let documents = CurrentRouting::default();
     assert!(documents.current().is_none());
     documents.adopt_table(table(5, vec![]));
     documents.adopt_table(table(4, vec![route("a", "x", "/")]));
@@ -75,7 +75,7 @@
 #[test]
 fn an_encoded_table_comes_into_force_if_it_is_newer() {
     let sent = Routing::new(table(5, vec![route("a", "x", "/p/")]));
-    let documents = Documents::default();
+    let documents = CurrentRouting::default();
     documents.adopt_encoded(5, &sent.encoded()).unwrap();
     assert_eq!(documents.current().unwrap().table, sent.table);
     // Who has the version does not look at the bytes again.
