--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -1,11 +1,11 @@
-//! Rolling a release of a service out: a small part of its requests first, then all of
-//! them, or none where the release is bad.
+//! Canary rollouts of a service's release: a small fraction of its requests goes to the
+//! new release first, then all of them, or none if the release is bad.
 //!
-//! Control hosts agree on each order and on its stage ([`Rollouts`]). While one is under
-//! way, the leader grants routers a part of their requests for the new release, for a
-//! moment at a time ([`Grants`]), and routers report what they saw of its answers and of
-//! the other releases' ([`Report`]). A router without a valid grant sends the new release
-//! nothing, so that a host that is cut off holds nothing open.
+//! Control hosts agree on each order and on its stage ([`Rollouts`]). While a rollout is in
+//! progress, the leader grants routers a fraction of their requests for the new release,
+//! valid for less than a second ([`Grants`]), and routers report the answers of the new and
+//! the old releases ([`Report`]). A router without a valid grant sends nothing to the new
+//! release, so that a router cut off from the leader cannot keep a bad release in use.
 
 mod active;
 mod analysis;
--- a/src/rollout/model.rs
+++ b/src/rollout/model.rs
@@ -1,55 +1,54 @@
-//! The roll-outs that control hosts agree on, without I/O.
+//! The replicated table of rollouts, without I/O.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds within which the same order counts as sent again, also after its
-/// roll-out has ended: operators send an order again for some seconds only.
-const SENT_AGAIN_MS: u64 = 10_000;
+/// Milliseconds within which an identical order counts as a retry of the first, also after
+/// its rollout has ended: operators' tools retry for a few seconds only.
+const RESEND_WINDOW_MS: u64 = 10_000;
 
-/// An operator's order to roll a release out.
+/// An operator's order to roll out a release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The service.
     pub service: String,
     /// The release that all its requests are to go to.
     pub version: String,
-    /// When it was taken, in milliseconds since the epoch at the leader.
+    /// When the leader received it, in milliseconds since the epoch by its clock.
     pub at_ms: u64,
-    /// Milliseconds in which it must be decided.
+    /// Milliseconds within which the rollout must reach a final stage.
     pub duration_ms: u64,
 }
 
 impl Order {
-    fn asks_the_same_as(&self, other: &Order) -> bool {
-        let asked =
-            |order: &Order| (order.service.clone(), order.version.clone(), order.duration_ms);
-        asked(self) == asked(other)
+    fn is_same_request(&self, other: &Order) -> bool {
+        let key = |order: &Order| (order.service.clone(), order.version.clone(), order.duration_ms);
+        key(self) == key(other)
     }
 }
 
-/// How far a roll-out has come.
+/// Stage of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// A small part of the requests goes to the new release.
+    /// A fraction of the requests goes to the new release.
     Canary,
-    /// All requests go to the new release; what runs on the others ends there.
+    /// All requests go to the new release; requests on the old releases run to their end.
     Shifting,
-    /// The others run nothing any more and may stop.
+    /// Endpoints of the old releases are retired and may stop.
     Done,
-    /// The new release is bad and gets nothing.
+    /// The new release was rejected and receives no requests.
     RolledBack,
 }
 
 impl Stage {
-    /// Whether nothing follows.
+    /// Whether no other stage can follow.
     pub fn is_final(self) -> bool {
         matches!(self, Stage::Done | Stage::RolledBack)
     }
 
-    /// Whether `next` may follow.
-    fn may_become(self, next: Stage) -> bool {
+    /// Whether `next` may follow this stage.
+    fn can_advance_to(self, next: Stage) -> bool {
         match self {
             Stage::Canary => next != Stage::Canary,
             Stage::Shifting => next.is_final(),
@@ -58,62 +57,63 @@
     }
 }
 
-/// The newest roll-out of a service.
+/// The latest rollout of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Number of the order among all; none is given twice.
+    /// Number of the order, unique among all orders.
     pub number: u64,
     /// The order.
     pub order: Order,
-    /// How far it has come.
+    /// The current stage.
     pub stage: Stage,
-    /// When that stage was decided, in milliseconds since the epoch at the leader.
+    /// When that stage was entered, in milliseconds since the epoch at the leader.
     pub stage_at_ms: u64,
 }
 
-/// The next stage of a roll-out.
+/// A change of a rollout to its next stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// The service.
     pub service: String,
-    /// The number of its roll-out.
+    /// The number of its rollout.
     pub number: u64,
-    /// The stage.
+    /// The next stage.
     pub stage: Stage,
-    /// When it was decided, in milliseconds since the epoch at the leader.
+    /// When the leader decided it, in milliseconds since the epoch at the leader.
     pub at_ms: u64,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is taken now, or was before.
+    /// It is accepted, now or when it was first sent.
     Taken,
-    /// Another order for the service is under way.
+    /// Another rollout of the service is in progress.
     UnderWay,
     /// There is no such service.
     UnknownService,
 }
 
-/// The newest roll-out of each service. Of two tables the one with the higher revision
-/// prevails.
+/// The latest rollout of each service. Of two tables, the one with the higher revision
+/// takes precedence.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollouts {
-    /// Rises with each change.
+    /// Incremented with each change.
     revision: u64,
     by_service: BTreeMap<String, Rollout>,
 }
 
 impl Rollouts {
-    /// Takes an order, unless another is under way. One sent again changes nothing.
+    /// Applies an order, unless another rollout of the service is in progress. A retry of the
+    /// same order changes nothing.
     pub fn start(&mut self, order: Order) -> OrderOutcome {
-        if let Some(before) = self.by_service.get(&order.service) {
-            let is_same = before.order.asks_the_same_as(&order);
-            let is_late = order.at_ms >= before.order.at_ms + SENT_AGAIN_MS;
-            if is_same && (!before.stage.is_final() || !is_late) {
+        if let Some(previous) = self.by_service.get(&order.service) {
+            let is_same = previous.order.is_same_request(&order);
+            let is_past_window = order.at_ms >= previous.order.at_ms + RESEND_WINDOW_MS;
+            if is_same && (!previous.stage.is_final() || !is_past_window) {
                 return OrderOutcome::Taken;
             }
-            if !before.stage.is_final() {
+            if !previous.stage.is_final() {
                 return OrderOutcome::UnderWay;
             }
         }
@@ -124,10 +124,10 @@
         OrderOutcome::Taken
     }
 
-    /// Takes a roll-out to its next stage; one that is out of date changes nothing.
+    /// Moves a rollout to its next stage; an outdated step changes nothing.
     pub fn step(&mut self, step: &Step) {
         let Some(rollout) = self.by_service.get_mut(&step.service) else { return };
-        if rollout.number == step.number && rollout.stage.may_become(step.stage) {
+        if rollout.number == step.number && rollout.stage.can_advance_to(step.stage) {
             rollout.stage = step.stage;
             rollout.stage_at_ms = step.at_ms;
             self.revision += 1;
@@ -139,12 +139,12 @@
         self.revision
     }
 
-    /// The newest roll-out of a service.
+    /// The latest rollout of a service.
     pub fn get(&self, service: &str) -> Option<&Rollout> {
         self.by_service.get(service)
     }
 
-    /// The newest roll-out of each service.
+    /// The latest rollout of each service.
     pub fn all(&self) -> impl Iterator<Item = &Rollout> {
         self.by_service.values()
     }
--- a/src/rollout/rules.rs
+++ b/src/rollout/rules.rs
@@ -1,24 +1,24 @@
-//! Bounds within which a release is rolled out.
+//! Settings that bound the impact of a bad release.
 
 use serde::{Deserialize, Serialize};
 
-/// What a bad release may cost callers, as operators set it.
+/// How many requests a bad release may receive, as set by operators.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RolloutRules {
-    /// Part of all requests to the service, from the order to its deadline, that a bad
-    /// release may get.
+    /// Fraction (0 to 1) of all requests to the service, from the order to its deadline,
+    /// that a bad release may receive.
     pub canary_share: f64,
-    /// Requests that it may get beyond that part.
+    /// Requests that it may receive beyond that fraction.
     pub canary_slack: u32,
     /// Milliseconds after its fiftieth bad answer within which a bad release must have
-    /// got its last request.
+    /// received its last request.
     pub rollback_ms: u64,
 }
 
 impl Default for RolloutRules {
-    /// One request in ten: enough to judge a release in seconds, and few enough callers
-    /// for a bad one.
+    /// One request in ten is enough to judge a release within seconds, and limits how many
+    /// callers a bad release affects.
     fn default() -> Self {
         RolloutRules { canary_share: 0.1, canary_slack: 50, rollback_ms: 5_000 }
     }
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -1,4 +1,4 @@
-//! Roll-outs as the tasks of one process know them.
+//! Rollout state shared by the tasks of one process.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,19 +11,19 @@
 use crate::registry::{Releases, Retired, SharedRegistry};
 use crate::wire::HostId;
 
-/// Reports that may wait for the leader's next decision: some seconds of those of
-/// hundreds of routers. Beyond them the oldest are dropped, as if they were lost.
-const MOST_REPORTS: usize = 8_192;
+/// Most reports kept until the leader's next decision: a few seconds of reports from
+/// hundreds of routers. Beyond that the oldest are dropped, as if they were lost on the way.
+const MAX_REPORTS: usize = 8_192;
 
-/// The agreed roll-outs, what the leader has granted, and what routers report to it.
+/// The agreed rollouts, the leader's grants and the reports of routers.
 #[derive(Debug)]
 pub struct SharedRollouts {
     table: watch::Sender<Arc<Rollouts>>,
-    /// On a router: what it was granted last.
+    /// On a router: the grants received last.
     granted: Mutex<Granted>,
-    /// On the leader: what it grants.
-    offered: watch::Sender<Grants>,
-    /// On the leader: what routers reported since it decided last.
+    /// On the leader: the grants published last.
+    published: watch::Sender<Grants>,
+    /// On the leader: reports received since the last decision.
     reports: Mutex<VecDeque<(HostId, Report)>>,
 }
 
@@ -38,26 +38,26 @@
         SharedRollouts {
             table: watch::Sender::new(Arc::default()),
             granted: Mutex::default(),
-            offered: watch::Sender::new(Grants::default()),
+            published: watch::Sender::new(Grants::default()),
             reports: Mutex::default(),
         }
     }
 }
 
 impl SharedRollouts {
-    /// The roll-outs as known here.
+    /// The current table of rollouts.
     pub fn table(&self) -> Arc<Rollouts> {
         self.table.borrow().clone()
     }
 
-    /// The roll-outs as known here, now and as they change.
+    /// Subscribes to the table of rollouts.
     pub fn watch(&self) -> watch::Receiver<Arc<Rollouts>> {
         self.table.subscribe()
     }
 
-    /// Takes a table in, if it is newer. The endpoints of old releases stop once the new
-    /// one is rolled out, and those of one that was rolled back get nothing more, whatever
-    /// is ordered next: both are retired from the registry.
+    /// Replaces the table by a newer one. The endpoints of old releases are retired from the
+    /// registry once the new release is rolled out, and so are those of a release that was
+    /// rolled back, whatever is ordered next.
     pub fn adopt(&self, rollouts: Rollouts, registry: &SharedRegistry) {
         let mut changed = Vec::new();
         let before = self.table();
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes grants in, unless they come from a leader that was followed by another.
+    /// Adopts grants, unless their leader has been succeeded by another.
     pub fn adopt_grants(&self, now: Millis, grants: Grants) {
         let mut granted = self.granted();
         if grants.term >= granted.grants.term {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// What this process may send to the new release of a service now.
+    /// The grant that is valid now for a rollout of a service.
     pub fn grant(&self, now: Millis, service: &str, number: u64) -> Option<Grant> {
         let granted = self.granted();
         let is_this = |grant: &&Grant| grant.service == service && grant.number == number;
@@ -102,26 +102,26 @@
         grant.filter(|_| now < granted.until).cloned()
     }
 
-    /// The leader grants anew.
+    /// Publishes the leader's grants to the subscribers.
     pub fn publish_grants(&self, grants: Grants) {
-        self.offered.send_replace(grants);
+        self.published.send_replace(grants);
     }
 
-    /// What the leader grants, each time that it does.
+    /// Subscribes to the grants that the leader publishes.
     pub fn watch_grants(&self) -> watch::Receiver<Grants> {
-        self.offered.subscribe()
+        self.published.subscribe()
     }
 
-    /// A router reported to this host.
+    /// Queues a router's report for the next decision.
     pub fn record_report(&self, router: HostId, report: Report) {
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
         reports.push_back((router, report));
-        if reports.len() > MOST_REPORTS {
+        if reports.len() > MAX_REPORTS {
             reports.pop_front();
         }
     }
 
-    /// What was reported since this was asked last.
+    /// Takes the reports received since the last call.
     pub fn take_reports(&self) -> VecDeque<(HostId, Report)> {
         std::mem::take(&mut *self.reports.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -20,17 +20,17 @@
 }
 
 #[test]
-fn an_order_sent_again_changes_nothing_and_another_has_to_wait() {
+fn a_repeated_order_changes_nothing_and_another_is_refused() {
     let mut rollouts = Rollouts::default();
     assert_eq!(rollouts.start(order("v2", 0)), OrderOutcome::Taken);
-    let taken = rollouts.clone();
+    let accepted = rollouts.clone();
     assert_eq!(rollouts.start(order("v2", 3_000)), OrderOutcome::Taken);
     assert_eq!(rollouts.start(order("v3", 3_000)), OrderOutcome::UnderWay);
-    assert_eq!(rollouts, taken);
+    assert_eq!(rollouts, accepted);
 }
 
 #[test]
-fn an_order_sent_again_does_not_begin_anew_what_was_rolled_back() {
+fn a_repeated_order_does_not_restart_a_rolled_back_rollout() {
     let mut rollouts = Rollouts::default();
     rollouts.start(order("v2", 0));
     rollouts.step(&step(&rollouts, Stage::RolledBack));
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn stages_only_go_forward_and_the_last_ones_stay() {
+fn stages_only_advance_and_final_ones_stay() {
     let mut rollouts = Rollouts::default();
     rollouts.start(order("v2", 0));
-    let late = step(&rollouts, Stage::Canary);
+    let outdated = step(&rollouts, Stage::Canary);
     rollouts.step(&step(&rollouts, Stage::Shifting));
-    rollouts.step(&late);
+    rollouts.step(&outdated);
     assert_eq!(rollouts.get("llm").unwrap().stage, Stage::Shifting);
     rollouts.step(&step(&rollouts, Stage::RolledBack));
     rollouts.step(&step(&rollouts, Stage::Done));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn grants_end_by_themselves_and_a_former_leader_grants_nothing() {
+fn grants_expire_and_those_of_an_earlier_leader_are_ignored() {
     let shared = SharedRollouts::default();
     let grants = |term, permille| {
         let grant = Grant { service: "llm".into(), number: 1, permille, highest_order: 9 };
@@ -64,5 +64,5 @@
     shared.adopt_grants(200, grants(1, 1_000));
     assert_eq!(shared.grant(699, "llm", 1).unwrap().permille, 50);
     assert_eq!(shared.grant(700, "llm", 1), None);
-    assert_eq!(shared.grant(300, "llm", 2), None, "another roll-out");
+    assert_eq!(shared.grant(300, "llm", 2), None, "another rollout");
 }
