--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -166,7 +166,7 @@
 impl RouteWatch {
     fn close_window(&mut self, reject_at: f64, window: &Window) -> RouteWindow {
         let old_now = std::mem::take(&mut self.old_now);
-        if old_now.ended() > 0 {
+        if old_now.total() > 0 {
             self.old_windows.push_back(old_now);
             if self.old_windows.len() > USUAL_WINDOWS {
                 self.old_windows.pop_front();
@@ -178,12 +178,12 @@
             self.times = old.clone();
         }
         let new = std::mem::take(&mut self.new_now);
-        let usual = usual_part((old.failed, old.ended()), (last.failed, last.ended()));
+        let usual = usual_part((old.failed, old.total()), (last.failed, last.total()));
         for (evidence, step) in self.failing.iter_mut().zip(FAILING_STEPS) {
-            evidence.add(likelier(new.failed, new.ended(), usual, step), reject_at, window);
+            evidence.add(likelier(new.failed, new.total(), usual, step), reject_at, window);
         }
         self.weigh_times(&new, &last, reject_at, window);
-        RouteWindow { failed: new.failed, answers: new.ended(), usual }
+        RouteWindow { failed: new.failed, answers: new.total(), usual }
     }
 
     /// The old releases' answers in the last windows.
@@ -270,7 +270,7 @@
     /// Takes answers in that came since the last window was closed.
     pub fn record(&mut self, tally: &RouteTally) {
         let route = self.routes.entry(tally.route.clone()).or_default();
-        let (answers, failed) = (tally.answers.ended(), tally.answers.failed);
+        let (answers, failed) = (tally.answers.total(), tally.answers.failed);
         match tally.release {
             Release::New => {
                 route.new_now.merge(&tally.answers);
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -1,24 +1,24 @@
-//! What a router counts while a release is rolled out, without I/O.
+//! A router's counts of requests and answers by release, without I/O.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::model::{Rollout, Rollouts};
 use super::report::{AnswerCounts, Release, Report, RouteTally, ServiceReport};
 
-/// What a request that was sent counts for.
+/// The tally that a request counts towards.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TallyKey {
-    /// Its service.
+    /// The service.
     pub service: String,
-    /// The roll-out.
+    /// The number of the rollout.
     pub number: u64,
-    /// Its route.
+    /// The route's name.
     pub route: String,
-    /// The side that it was sent to.
+    /// The side that the request was sent to.
     pub release: Release,
 }
 
-/// The side of a roll-out that a release is on.
+/// The side of a rollout that a version belongs to.
 pub fn release_of(rollout: &Rollout, version: &str) -> Release {
     match rollout.order.version == version {
         true => Release::New,
@@ -27,22 +27,22 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Counted {
+struct ServiceTally {
     number: u64,
     routes: BTreeMap<(String, Release), AnswerCounts>,
 }
 
-/// What this router has not yet reported, and what it has under way.
+/// Counts that this router has not reported yet, and its open requests.
 #[derive(Clone, Debug, Default)]
 pub struct RouterTally {
-    services: BTreeMap<String, Counted>,
-    /// Open requests by service and release, whether or not one is rolled out: what began
-    /// before an order has to end too.
+    services: BTreeMap<String, ServiceTally>,
+    /// Open requests by service and version, also without a rollout: requests that began
+    /// before an order must end too before its rollout is done.
     open: HashMap<String, BTreeMap<String, u32>>,
 }
 
 impl RouterTally {
-    /// A request runs at an endpoint of a release.
+    /// Records that a request runs at an endpoint of a version.
     pub fn record_opened(&mut self, service: &str, version: &str) {
         let releases = match self.open.get_mut(service) {
             Some(releases) => releases,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// It has ended there.
+    /// Records that a request at an endpoint of a version has ended.
     pub fn record_closed(&mut self, service: &str, version: &str) {
         let Some(releases) = self.open.get_mut(service) else { return };
         let Some(open) = releases.get_mut(version) else { return };
@@ -66,61 +66,61 @@
         }
     }
 
-    /// A request is sent.
-    pub fn record_sent(&mut self, sample: &TallyKey) {
-        self.count(sample, |counts| counts.sent += 1);
+    /// Records that a request is sent.
+    pub fn record_sent(&mut self, key: &TallyKey) {
+        self.count(key, |counts| counts.sent += 1);
     }
 
-    /// It could not be sent. Where that was reported meanwhile, it stays counted: the
-    /// part of a release is kept to on the safe side.
-    pub fn record_unsent(&mut self, sample: &TallyKey) {
-        self.count(sample, |counts| counts.sent = counts.sent.saturating_sub(1));
+    /// Records that a request could not be sent after all. If it was reported as sent in the
+    /// meantime, it stays counted, so that the new release gets rather less than its fraction.
+    pub fn record_unsent(&mut self, key: &TallyKey) {
+        self.count(key, |counts| counts.sent = counts.sent.saturating_sub(1));
     }
 
-    /// Its answer was a failure or never came.
-    pub fn record_failed(&mut self, sample: &TallyKey) {
-        self.count(sample, |counts| counts.failed += 1);
+    /// Records an answer that was an error or never arrived.
+    pub fn record_failed(&mut self, key: &TallyKey) {
+        self.count(key, |counts| counts.failed += 1);
     }
 
-    /// Its answer began well and broke off later.
-    pub fn record_truncated(&mut self, sample: &TallyKey) {
-        self.count(sample, |counts| {
+    /// Records that an answer that began successfully ended early.
+    pub fn record_truncated(&mut self, key: &TallyKey) {
+        self.count(key, |counts| {
             counts.failed += 1;
             counts.answered -= 1;
         });
     }
 
-    /// Its answer began well after so many milliseconds.
-    pub fn record_answered(&mut self, sample: &TallyKey, ms: f64) {
-        self.count(sample, |counts| counts.add(ms));
+    /// Records an answer that began successfully after `ms` milliseconds.
+    pub fn record_answered(&mut self, key: &TallyKey, ms: f64) {
+        self.count(key, |counts| counts.add_answer(ms));
     }
 
-    /// Its answer began well, at an endpoint that is still cold: how long it took says
-    /// nothing of the release.
-    pub fn record_answered_cold(&mut self, sample: &TallyKey) {
-        self.count(sample, |counts| counts.answered += 1);
+    /// Records an answer that began successfully at a cold endpoint, without its time, which
+    /// would say nothing about the release.
+    pub fn record_answered_cold(&mut self, key: &TallyKey) {
+        self.count(key, |counts| counts.answered += 1);
     }
 
-    /// Counts, unless a later roll-out of the service has begun.
-    fn count(&mut self, sample: &TallyKey, add: impl FnOnce(&mut AnswerCounts)) {
-        let counted = self.services.entry(sample.service.clone()).or_default();
-        if counted.number < sample.number {
-            *counted = Counted { number: sample.number, ..Counted::default() };
+    /// Updates the counts, unless a later rollout of the service has begun.
+    fn count(&mut self, key: &TallyKey, add: impl FnOnce(&mut AnswerCounts)) {
+        let tally = self.services.entry(key.service.clone()).or_default();
+        if tally.number < key.number {
+            *tally = ServiceTally { number: key.number, ..ServiceTally::default() };
         }
-        if counted.number == sample.number {
-            add(counted.routes.entry((sample.route.clone(), sample.release)).or_default());
+        if tally.number == key.number {
+            add(tally.routes.entry((key.route.clone(), key.release)).or_default());
         }
     }
 
-    /// What there is to report of the roll-outs under way; what belongs to others is
-    /// forgotten.
+    /// Takes the counts of the rollouts in progress as a report; counts of other rollouts
+    /// are dropped.
     pub fn take_report(&mut self, rollouts: &Rollouts) -> Report {
-        let mut counted = std::mem::take(&mut self.services);
+        let mut unreported = std::mem::take(&mut self.services);
         let under_way = rollouts.all().filter(|rollout| !rollout.stage.is_final());
         let services = under_way.map(|rollout| {
             let service = rollout.order.service.clone();
-            let counted = counted.remove(&service).filter(|c| c.number == rollout.number);
-            let routes = counted.unwrap_or_default().routes.into_iter();
+            let service_tally = unreported.remove(&service).filter(|c| c.number == rollout.number);
+            let routes = service_tally.unwrap_or_default().routes.into_iter();
             let tallies = routes.filter(|(_, answers)| !answers.is_empty());
             let tally = |((route, release), answers)| RouteTally { route, release, answers };
             ServiceReport {
@@ -133,13 +133,13 @@
         Report { services: services.collect() }
     }
 
-    /// Takes back a report that could not be sent. What is kept is bounded: sums by route
-    /// and release.
+    /// Returns the counts of a report that could not be sent. Memory stays bounded, as only
+    /// sums by route and release are kept.
     pub fn put_back(&mut self, report: Report) {
         for ServiceReport { service, number, tallies, .. } in report.services {
             for RouteTally { route, release, answers } in tallies {
-                let sample = TallyKey { service: service.clone(), number, route, release };
-                self.count(&sample, |counts| counts.merge(&answers));
+                let key = TallyKey { service: service.clone(), number, route, release };
+                self.count(&key, |counts| counts.merge(&answers));
             }
         }
     }
--- a/src/rollout/tests/analysis.rs
+++ b/src/rollout/tests/analysis.rs
@@ -209,7 +209,7 @@
 
 fn tally(release: Release, ms: f64, answers: u32) -> RouteTally {
     let mut counts = AnswerCounts { sent: answers, ..AnswerCounts::default() };
-    (0..answers).for_each(|_| counts.add(ms));
+    (0..answers).for_each(|_| counts.add_answer(ms));
     RouteTally { route: "r".into(), release, answers: counts }
 }
 
--- a/src/rollout/tests/size.rs
+++ b/src/rollout/tests/size.rs
@@ -1,11 +1,11 @@
-//! What the messages of roll-outs weigh: the figures of `docs/CAPACITY.md`.
+//! Encoded sizes of rollout messages: the figures of `docs/CAPACITY.md`.
 
 use crate::rollout::{AnswerCounts, Grant, Grants, Release, Report, RouteTally, ServiceReport};
 
-/// A router's answers on one route in a window: six, in four buckets of times.
+/// A router's answers on one route in one window: six sent, in four buckets of times.
 fn tally(route: &str, release: Release) -> RouteTally {
     let mut answers = AnswerCounts { sent: 6, failed: 1, ..AnswerCounts::default() };
-    [40.0, 55.0, 70.0, 100.0].into_iter().for_each(|ms| answers.add(ms));
+    [40.0, 55.0, 70.0, 100.0].into_iter().for_each(|ms| answers.add_answer(ms));
     RouteTally { route: route.into(), release, answers }
 }
 
--- a/src/rollout/tests/streams.rs
+++ b/src/rollout/tests/streams.rs
@@ -88,7 +88,7 @@
                     if is_extra || self.random.random_bool(route.failing) {
                         counts.failed += 1;
                     } else {
-                        counts.add(route.took_ms * times * self.factor(route.spread));
+                        counts.add_answer(route.took_ms * times * self.factor(route.spread));
                     }
                     let is_bad = is_extra || times > 1.0;
                     let_through += u32::from(is_bad && release == Release::New);
