--- a/src/rollout/tests/split.rs
+++ b/src/rollout/tests/split.rs
@@ -1,4 +1,4 @@
-//! How a router divides its requests.
+//! Splitting requests between releases.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,41 +6,41 @@
 use super::*;
 use crate::eligibility::VersionRule;
 
-/// What a request of one service meets.
-struct World {
+/// State of a service with one rollout.
+struct Scenario {
     rollout: Rollout,
     grant: Option<Grant>,
-    old_takes_work: bool,
+    others_take_work: bool,
 }
 
-impl World {
-    fn new(stage: Stage, permille: Option<u32>) -> World {
+impl Scenario {
+    fn new(stage: Stage, permille: Option<u32>) -> Scenario {
         let grant =
             |permille| Grant { service: "llm".into(), number: 1, permille, highest_order: 9 };
-        World {
+        Scenario {
             rollout: Rollout { number: 1, order: order("v2", 0), stage, stage_at_ms: 0 },
             grant: permille.map(grant),
-            old_takes_work: true,
+            others_take_work: true,
         }
     }
 
-    fn ask(
+    fn rule(
         &self,
-        splits: &mut TrafficSplitter,
-        turn: &mut ReleaseChoice,
+        splitter: &mut TrafficSplitter,
+        choice: &mut ReleaseChoice,
         offset: f64,
     ) -> Option<VersionRule> {
-        self.with(|situation| splits.rule(turn, "chat", offset, situation).0)
+        self.with(|state| splitter.rule(choice, "chat", offset, state).0)
     }
 
     fn first(&self) -> Option<VersionRule> {
-        self.ask(&mut TrafficSplitter::default(), &mut ReleaseChoice::default(), 0.999)
+        self.rule(&mut TrafficSplitter::default(), &mut ReleaseChoice::default(), 0.999)
     }
 
     fn with<T>(&self, f: impl FnOnce(&RouterState<'_>) -> T) -> T {
         let grant = self.grant.as_ref();
         let rollout = Some(&self.rollout);
-        f(&RouterState { rollout, grant, others_take_work: self.old_takes_work })
+        f(&RouterState { rollout, grant, others_take_work: self.others_take_work })
     }
 }
 
@@ -53,41 +53,42 @@
 }
 
 #[test]
-fn routers_with_few_requests_each_keep_to_the_part_at_any_time() {
+fn routers_with_few_requests_each_keep_to_the_granted_fraction() {
     const ROUTERS: usize = 300;
-    // A sum of 300 independent roundings: five standard deviations of at most a half each.
+    // A sum of 300 independent roundings: five standard deviations of the sum, where each
+    // rounding has a standard deviation of at most a half.
     const BOUND: f64 = 5.0 * 0.5 * 17.33;
-    let world = World::new(Stage::Canary, Some(40));
+    let scenario = Scenario::new(Stage::Canary, Some(40));
     let mut random = StdRng::seed_from_u64(1);
-    let mut splits = vec![TrafficSplitter::default(); ROUTERS];
-    let mut asked = 0.0;
-    let (mut sent, mut furthest) = (0.0_f64, 0.0_f64);
+    let mut splitters = vec![TrafficSplitter::default(); ROUTERS];
+    let mut requests = 0.0;
+    let (mut sent, mut largest_error) = (0.0_f64, 0.0_f64);
     for round in 1..=60 {
-        for splits in &mut splits {
-            // A request every five rounds or so.
+        for splitter in &mut splitters {
+            // On average one request in five rounds.
             if random.random::<f64>() > 0.2 {
                 continue;
             }
-            asked += 1.0;
-            let rule = world.ask(splits, &mut ReleaseChoice::default(), random.random());
+            requests += 1.0;
+            let rule = scenario.rule(splitter, &mut ReleaseChoice::default(), random.random());
             sent += f64::from(u8::from(rule == only("v2", 9)));
         }
-        let part = asked * 0.04;
-        furthest = furthest.max((sent - part).abs());
-        assert!((sent - part).abs() <= BOUND, "{sent} of {part} after {round} rounds");
+        let expected = requests * 0.04;
+        largest_error = largest_error.max((sent - expected).abs());
+        assert!((sent - expected).abs() <= BOUND, "{sent} of {expected} after {round} rounds");
     }
-    println!("{ROUTERS} routers are at most {furthest:.1} requests off the part");
+    println!("{ROUTERS} routers are at most {largest_error:.1} requests off the granted fraction");
 }
 
 #[test]
-fn a_request_that_asks_again_counts_once() {
-    let world = World::new(Stage::Canary, Some(500));
-    let mut splits = TrafficSplitter::default();
+fn a_request_that_is_routed_again_keeps_its_release_and_counts_once() {
+    let scenario = Scenario::new(Stage::Canary, Some(500));
+    let mut splitter = TrafficSplitter::default();
     let mut sent = 0;
     for _ in 0..100 {
-        let mut turn = ReleaseChoice::default();
-        let rule = world.ask(&mut splits, &mut turn, 0.0);
-        (0..5).for_each(|_| assert_eq!(world.ask(&mut splits, &mut turn, 0.0), rule));
+        let mut choice = ReleaseChoice::default();
+        let rule = scenario.rule(&mut splitter, &mut choice, 0.0);
+        (0..5).for_each(|_| assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.0), rule));
         sent += usize::from(rule == only("v2", 9));
     }
     assert_eq!(sent, 50);
@@ -96,118 +97,118 @@
 #[test]
 fn without_a_grant_the_new_release_gets_nothing_as_long_as_another_takes_work() {
     for stage in [Stage::Canary, Stage::Shifting] {
-        let mut world = World::new(stage, None);
-        assert_eq!(world.first(), not_new());
-        world.old_takes_work = false;
-        assert_eq!(world.first(), Some(VersionRule::Any));
+        let mut scenario = Scenario::new(stage, None);
+        assert_eq!(scenario.first(), not_new());
+        scenario.others_take_work = false;
+        assert_eq!(scenario.first(), Some(VersionRule::Any));
     }
 }
 
 #[test]
-fn a_grant_that_ends_in_the_middle_takes_a_drawn_request_back() {
-    let mut world = World::new(Stage::Canary, Some(500));
-    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
-    world.grant = None;
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
+fn a_request_drawn_for_the_new_release_goes_to_an_old_one_once_its_grant_expires() {
+    let mut scenario = Scenario::new(Stage::Canary, Some(500));
+    let (mut splitter, mut choice) = (TrafficSplitter::default(), ReleaseChoice::default());
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), only("v2", 9));
+    scenario.grant = None;
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), not_new());
 }
 
 #[test]
-fn all_requests_go_to_the_new_release_also_those_that_drew_another() {
-    let mut world = World::new(Stage::Shifting, Some(10));
-    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.0), not_new());
-    world.grant = Some(Grant { permille: 1_000, ..world.grant.unwrap() });
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.0), only("v2", 9));
+fn all_requests_go_to_the_new_release_including_those_that_drew_an_old_one() {
+    let mut scenario = Scenario::new(Stage::Shifting, Some(10));
+    let (mut splitter, mut choice) = (TrafficSplitter::default(), ReleaseChoice::default());
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.0), not_new());
+    scenario.grant = Some(Grant { permille: 1_000, ..scenario.grant.unwrap() });
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.0), only("v2", 9));
 }
 
 #[test]
-fn what_was_rolled_back_gets_nothing_whatever_was_granted_or_drawn() {
-    let mut world = World::new(Stage::Canary, Some(500));
-    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
-    world.rollout.stage = Stage::RolledBack;
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
-    world.old_takes_work = false;
-    assert_eq!(world.first(), not_new());
+fn a_rolled_back_release_gets_no_requests_whatever_was_granted_or_drawn() {
+    let mut scenario = Scenario::new(Stage::Canary, Some(500));
+    let (mut splitter, mut choice) = (TrafficSplitter::default(), ReleaseChoice::default());
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), only("v2", 9));
+    scenario.rollout.stage = Stage::RolledBack;
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), not_new());
+    scenario.others_take_work = false;
+    assert_eq!(scenario.first(), not_new());
     let mut bound = ReleaseChoice::default();
     bound.bind("v2");
-    assert_eq!(world.ask(&mut splits, &mut bound, 0.5), None);
+    assert_eq!(scenario.rule(&mut splitter, &mut bound, 0.5), None);
 }
 
-/// The endpoints of the old releases are retired then; what comes later is as good as any.
+/// Endpoints of the old releases are retired by then, and later versions may take any request.
 #[test]
-fn at_the_end_no_release_is_left_out() {
-    let world = World::new(Stage::Done, None);
-    assert_eq!(world.first(), Some(VersionRule::Any));
+fn any_release_may_serve_once_the_rollout_is_done() {
+    let scenario = Scenario::new(Stage::Done, None);
+    assert_eq!(scenario.first(), Some(VersionRule::Any));
 }
 
 #[test]
-fn a_request_that_failed_at_the_new_release_or_had_no_place_goes_to_another() {
-    let mut world = World::new(Stage::Canary, Some(999));
-    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
-    turn.record_failure_at_new(1);
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
-    // Once all go there, it tries another endpoint of the new release.
-    world.grant = Some(Grant { permille: 1_000, ..world.grant.unwrap() });
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
-    assert!(turn.record_no_place_at_new(1));
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), not_new());
-    assert!(!turn.record_no_place_at_new(1), "asked there already");
+fn a_request_that_failed_or_had_no_place_at_the_new_release_goes_to_an_old_one() {
+    let mut scenario = Scenario::new(Stage::Canary, Some(999));
+    let (mut splitter, mut choice) = (TrafficSplitter::default(), ReleaseChoice::default());
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), only("v2", 9));
+    choice.record_failure_at_new(1);
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), not_new());
+    // Once all requests go to the new release, it tries another endpoint of that release.
+    scenario.grant = Some(Grant { permille: 1_000, ..scenario.grant.unwrap() });
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), only("v2", 9));
+    assert!(choice.record_no_place_at_new(1));
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), not_new());
+    assert!(!choice.record_no_place_at_new(1), "no place was recorded before");
 }
 
 #[test]
-fn a_begun_answer_goes_on_at_its_release_only() {
-    let world = World::new(Stage::Canary, Some(10));
-    let mut splits = TrafficSplitter::default();
-    let mut turn = ReleaseChoice::default();
-    turn.bind("v1");
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.0), only("v1", u32::MAX));
-    turn.bind("v2");
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.0), only("v2", 9));
-    let cut_off = World::new(Stage::Canary, None);
-    assert_eq!(cut_off.ask(&mut splits, &mut turn, 0.0), None);
-    let ended = World::new(Stage::Done, None);
-    assert_eq!(ended.ask(&mut splits, &mut turn, 0.0), only("v2", u32::MAX));
-    let nothing = RouterState { rollout: None, grant: None, others_take_work: true };
-    assert_eq!(splits.rule(&mut turn, "chat", 0.0, &nothing).0, only("v2", u32::MAX));
+fn a_begun_answer_is_resumed_at_its_release_only() {
+    let scenario = Scenario::new(Stage::Canary, Some(10));
+    let mut splitter = TrafficSplitter::default();
+    let mut choice = ReleaseChoice::default();
+    choice.bind("v1");
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.0), only("v1", u32::MAX));
+    choice.bind("v2");
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.0), only("v2", 9));
+    let cut_off = Scenario::new(Stage::Canary, None);
+    assert_eq!(cut_off.rule(&mut splitter, &mut choice, 0.0), None);
+    let ended = Scenario::new(Stage::Done, None);
+    assert_eq!(ended.rule(&mut splitter, &mut choice, 0.0), only("v2", u32::MAX));
+    let state = RouterState { rollout: None, grant: None, others_take_work: true };
+    assert_eq!(splitter.rule(&mut choice, "chat", 0.0, &state).0, only("v2", u32::MAX));
 }
 
 #[test]
-fn answers_that_go_on_at_the_new_release_are_part_of_its_part() {
-    let world = World::new(Stage::Canary, Some(100));
-    let mut splits = TrafficSplitter::default();
+fn answers_resumed_at_the_new_release_count_towards_its_fraction() {
+    let scenario = Scenario::new(Stage::Canary, Some(100));
+    let mut splitter = TrafficSplitter::default();
     let mut sent = 0;
     for _ in 0..1_000 {
-        let mut turn = ReleaseChoice::default();
-        if world.ask(&mut splits, &mut turn, 0.5) != only("v2", 9) {
+        let mut choice = ReleaseChoice::default();
+        if scenario.rule(&mut splitter, &mut choice, 0.5) != only("v2", 9) {
             continue;
         }
         sent += 1;
-        // Every answer of the new release breaks off twice.
-        turn.bind("v2");
+        // Every answer of the new release ends early twice.
+        choice.bind("v2");
         for _ in 0..2 {
-            sent += i32::from(world.with(|s| splits.try_resume(&turn, "chat", 0.5, s)));
+            sent += i32::from(scenario.with(|s| splitter.try_resume(&choice, "chat", 0.5, s)));
         }
     }
     assert!((98..=102).contains(&sent), "{sent}");
 }
 
 #[test]
-fn a_later_roll_out_of_the_service_is_drawn_for_anew() {
-    let mut world = World::new(Stage::Canary, Some(500));
-    let (mut splits, mut turn) = (TrafficSplitter::default(), ReleaseChoice::default());
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.5), only("v2", 9));
-    world.rollout.number = 2;
-    world.rollout.order.version = "v3".into();
-    assert_eq!(world.ask(&mut splits, &mut turn, 0.1), Some(VersionRule::Not("v3".into())));
+fn a_request_draws_again_for_a_later_rollout() {
+    let mut scenario = Scenario::new(Stage::Canary, Some(500));
+    let (mut splitter, mut choice) = (TrafficSplitter::default(), ReleaseChoice::default());
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), only("v2", 9));
+    scenario.rollout.number = 2;
+    scenario.rollout.order.version = "v3".into();
+    assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.1), Some(VersionRule::Not("v3".into())));
 }
 
 #[test]
-fn without_a_roll_out_any_release_runs_a_request() {
-    let nothing = RouterState { rollout: None, grant: None, others_take_work: true };
-    let (rule, cause) =
-        TrafficSplitter::default().rule(&mut ReleaseChoice::default(), "chat", 0.5, &nothing);
-    assert_eq!((rule, cause), (Some(VersionRule::Any), SplitReason::NoRollout));
+fn without_a_rollout_any_release_may_serve() {
+    let state = RouterState { rollout: None, grant: None, others_take_work: true };
+    let (rule, reason) =
+        TrafficSplitter::default().rule(&mut ReleaseChoice::default(), "chat", 0.5, &state);
+    assert_eq!((rule, reason), (Some(VersionRule::Any), SplitReason::NoRollout));
 }
