--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -22,7 +22,7 @@
 pub use active::{ActiveRollout, Evaluation, Progress, RolloutEndpoint, ServiceState};
 pub use analysis::{CanaryAnalysis, Finding, Window};
 pub use model::{Order, OrderOutcome, Rollout, Rollouts, Stage, Step};
-pub use plan::{Decision, Why, canary_permille, decide};
+pub use plan::{Decision, StepReason, canary_permille, decide};
 pub use report::{AnswerCounts, Grant, Grants, Release, Report, RouteTally, ServiceReport};
 pub use rules::RolloutRules;
 pub use shared::SharedRollouts;
--- a/src/rollout/active.rs
+++ b/src/rollout/active.rs
@@ -5,7 +5,7 @@
 
 use super::analysis::{CanaryAnalysis, Finding, Window};
 use super::model::{Rollout, Stage};
-use super::plan::{Decision, SUSPICIOUS, Situation, canary_permille, decide};
+use super::plan::{Decision, SUSPICIOUS_LEVEL, Situation, canary_permille, decide};
 use super::report::{Grant, Release, ServiceReport};
 use super::rules::RolloutRules;
 use crate::dispatch::Millis;
@@ -200,7 +200,7 @@
         if self.is_rejected {
             finding.level = finding.level.max(1.0);
         }
-        self.suspicious_since = match finding.level >= SUSPICIOUS {
+        self.suspicious_since = match finding.level >= SUSPICIOUS_LEVEL {
             true => self.suspicious_since.or(Some(now)),
             false => None,
         };
@@ -263,7 +263,7 @@
             elapsed_ms: self.elapsed_before + counted_ms,
             duration_ms: self.rollout.order.duration_ms,
             in_stage_ms: now.saturating_sub(self.stage_since),
-            at_part_ms: now.saturating_sub(self.part_since),
+            at_permille_ms: now.saturating_sub(self.part_since),
             permille: self.permille,
             level,
             suspicious_ms: self.suspicious_since.map_or(0, |since| now.saturating_sub(since)),
@@ -274,7 +274,7 @@
             new_slots: around.slots(true),
             old_slots: around.slots(false),
             without_old_ms: self.without_old_since.map_or(0, |since| now.saturating_sub(since)),
-            has_heard: self.has_heard(now, &around.routers),
+            has_recent_reports: self.has_recent_reports(now, &around.routers),
             is_old_empty: self.is_old_empty(now, &around.routers),
         }
     }
@@ -286,7 +286,7 @@
     }
 
     /// Whether most routers reported lately.
-    fn has_heard(&self, now: Millis, routers: &[HostId]) -> bool {
+    fn has_recent_reports(&self, now: Millis, routers: &[HostId]) -> bool {
         let heard = routers.iter().filter(|router| self.said_lately(now, router).is_some());
         heard.count() * 2 > routers.len()
     }
--- a/src/rollout/tests/active.rs
+++ b/src/rollout/tests/active.rs
@@ -3,7 +3,7 @@
 use super::streams::{BUSY, Matter, QUIET, Route, Stream, WINDOW_MS};
 use crate::rollout::{
     ActiveRollout, Decision, Order, Rollout, RolloutEndpoint, RolloutRules, RouteTally,
-    ServiceReport, ServiceState, Stage, Why,
+    ServiceReport, ServiceState, Stage, StepReason,
 };
 use crate::wire::HostId;
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct Ended {
     stage: Stage,
-    why: Why,
+    reason: StepReason,
     at_ms: u64,
     /// Part of all requests until the deadline that the new release got.
     exposure: f64,
@@ -73,9 +73,9 @@
         let decided = active.decide(now, &service_state(), &rules);
         let part = decided.grant.map_or(0, |grant| grant.permille);
         match decided.decision {
-            Decision::Step(stage, why) if stage.is_final() => {
+            Decision::Step(stage, reason) if stage.is_final() => {
                 let exposure = active.progress().sent_new as f64 / (per_ms * duration_ms as f64);
-                return Ended { stage, why, at_ms: now, exposure };
+                return Ended { stage, reason, at_ms: now, exposure };
             }
             Decision::Step(stage, _) => {
                 shifting_since = now;
@@ -91,7 +91,11 @@
 fn a_good_release_is_done_in_time() {
     for seed in 0..20 {
         let ended = play(Matter::Good, seed, Stage::Canary, 0);
-        assert_eq!((ended.stage, ended.why), (Stage::Done, Why::OldEmpty), "{seed}: {ended:?}");
+        assert_eq!(
+            (ended.stage, ended.reason),
+            (Stage::Done, StepReason::OldEmpty),
+            "{seed}: {ended:?}"
+        );
         assert!(ended.at_ms < DURATION, "{ended:?}");
     }
 }
@@ -167,7 +171,7 @@
     let rules = RolloutRules::default();
     active.record_report(100, ROUTER, &report(Vec::new(), 0));
     let decided = active.decide(900, &service_state(), &rules);
-    assert!(matches!(decided.decision, Decision::Step(Stage::Done, Why::OldEmpty)));
+    assert!(matches!(decided.decision, Decision::Step(Stage::Done, StepReason::OldEmpty)));
     let decided = active.decide(1_100, &service_state(), &rules);
     assert_eq!(decided.decision, Decision::Grant(1_000), "nothing heard for a second");
 }
@@ -212,7 +216,7 @@
         now += WINDOW_MS;
         active.record_report(now, ROUTER, &report(stream.next().0, 9));
         if active.decide(now, &service_state(), &rules).decision
-            == Decision::Step(Stage::RolledBack, Why::Bad)
+            == Decision::Step(Stage::RolledBack, StepReason::Bad)
         {
             break;
         }
@@ -222,7 +226,7 @@
         now += WINDOW_MS;
         active.record_report(now, ROUTER, &report(stream.next().0, 9));
         let decided = active.decide(now, &service_state(), &rules);
-        assert_eq!(decided.decision, Decision::Step(Stage::RolledBack, Why::Bad));
+        assert_eq!(decided.decision, Decision::Step(Stage::RolledBack, StepReason::Bad));
         assert_eq!(decided.grant, None);
     }
 }
@@ -236,8 +240,8 @@
         now += WINDOW_MS;
         match active.decide(now, &service_state(), &rules).decision {
             Decision::Grant(part) => assert_eq!(part, 55, "at {now} ms"),
-            Decision::Step(stage, why) => {
-                assert_eq!((stage, why), (Stage::RolledBack, Why::NotJudged));
+            Decision::Step(stage, reason) => {
+                assert_eq!((stage, reason), (Stage::RolledBack, StepReason::NotJudged));
                 break;
             }
         }
@@ -254,12 +258,12 @@
         now += WINDOW_MS;
         active.record_report(now, ROUTER, &report(Vec::new(), 0));
         match active.decide(now, &service_state(), &rules).decision {
-            Decision::Step(Stage::Shifting, why) => {
-                assert_eq!(why, Why::Idle);
+            Decision::Step(Stage::Shifting, reason) => {
+                assert_eq!(reason, StepReason::Idle);
                 active.adopt(now, Stage::Shifting);
             }
-            Decision::Step(stage, why) => {
-                assert_eq!((stage, why), (Stage::Done, Why::OldEmpty));
+            Decision::Step(stage, reason) => {
+                assert_eq!((stage, reason), (Stage::Done, StepReason::OldEmpty));
                 break;
             }
             Decision::Grant(_) => {}
