--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -10,8 +10,8 @@
 const BASELINE_WINDOWS: usize = 30;
 /// The most recent of them, in which a problem that affects both sides shows at once.
 const RECENT_WINDOWS: usize = 5;
-/// Evidence at which a release is rejected: the logarithm of the likelihood ratio of its
-/// answers if it is bad and if it is good. Taken from the table in `docs/design/roll-outs.md`.
+/// Evidence at which a release is rejected, as the logarithm of how much likelier its answers
+/// are if it is bad. Derived from the table in `docs/design/roll-outs.md`.
 const REJECT_EVIDENCE: f64 = 6.5;
 /// Milliseconds of a rollout that [`REJECT_EVIDENCE`] applies to. A longer rollout has more
 /// windows in which chance may speak against a good release, so it requires more evidence, by
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -72,7 +72,7 @@
     }
 
     /// Records that a request could not be sent after all. If it was reported as sent in the
-    /// meantime, it stays counted, so that the new release gets rather less than its fraction.
+    /// meantime, it stays counted: the release then receives less than its fraction, not more.
     pub fn record_unsent(&mut self, key: &TallyKey) {
         self.count(key, |counts| counts.sent = counts.sent.saturating_sub(1));
     }
@@ -116,8 +116,8 @@
     /// are dropped.
     pub fn take_report(&mut self, rollouts: &Rollouts) -> Report {
         let mut unreported = std::mem::take(&mut self.services);
-        let under_way = rollouts.all().filter(|rollout| !rollout.stage.is_final());
-        let services = under_way.map(|rollout| {
+        let in_progress = rollouts.all().filter(|rollout| !rollout.stage.is_final());
+        let services = in_progress.map(|rollout| {
             let service = rollout.order.service.clone();
             let service_tally = unreported.remove(&service).filter(|c| c.number == rollout.number);
             let routes = service_tally.unwrap_or_default().routes.into_iter();
--- a/src/rollout/tests/plan.rs
+++ b/src/rollout/tests/plan.rs
@@ -57,12 +57,12 @@
 #[test]
 fn the_fraction_grows_in_steps_until_all_requests_shift() {
     let mut situation = Situation { elapsed_ms: 7_000, ..canary() };
-    let mut parts = Vec::new();
+    let mut permilles = Vec::new();
     loop {
         match next_step(&situation) {
-            Decision::Grant(part) => {
-                parts.push(part);
-                situation.permille = part;
+            Decision::Grant(permille) => {
+                permilles.push(permille);
+                situation.permille = permille;
             }
             Decision::Step(stage, reason) => {
                 assert_eq!((stage, reason), (Stage::Shifting, StepReason::Good));
@@ -70,7 +70,7 @@
             }
         }
     }
-    assert_eq!(parts, [120, 250, 500]);
+    assert_eq!(permilles, [120, 250, 500]);
     let early = Situation { at_permille_ms: 100, permille: 250, ..situation };
     assert_eq!(next_step(&early), Decision::Grant(250));
 }
--- a/src/rollout/tests/tally.rs
+++ b/src/rollout/tests/tally.rs
@@ -27,8 +27,8 @@
     assert_eq!(tallies.len(), 2);
     let of = |release| &tallies.iter().find(|t| t.release == release).unwrap().answers;
     assert_eq!((of(Release::New).sent, of(Release::New).failed), (3, 0));
-    let took = [(AnswerCounts::bucket(100.0), 2), (AnswerCounts::bucket(900.0), 1)];
-    assert_eq!(of(Release::New).first_byte_times, took);
+    let times = [(AnswerCounts::bucket(100.0), 2), (AnswerCounts::bucket(900.0), 1)];
+    assert_eq!(of(Release::New).first_byte_times, times);
     assert_eq!((of(Release::Old).sent, of(Release::Old).failed), (1, 1));
     assert!(tally.take_report(&in_progress()).services[0].tallies.is_empty());
 }
