--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -16,12 +16,13 @@
 use bramblecrank::dispatch::{Decision, Dispatcher};
 use bramblecrank::member::Table as Members;
 use bramblecrank::quarantine::{
-    CrashReport, Fingerprint, Inquiry, Observation, Observed, Quarantines, Suspicion, Verdict,
+    CrashAnalysis, CrashReport, Fingerprint, Observation, ObservedEvent, QuarantineState,
+    Quarantines, Verdict,
 };
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
 use bramblecrank::wire::{
-    Beat, Ending, FromDispatcher, Heartbeat, HostId, Role, ToDispatcher, Want,
+    Beat, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Role, ToDispatcher,
 };
 
 fn main() {
@@ -47,8 +48,8 @@
     postcard::to_stdvec(value).map_or(0.0, |b| b.len() as f64)
 }
 
-fn want(seq: u64, customer: u32, prefix: usize) -> Want {
-    Want {
+fn want(seq: u64, customer: u32, prefix: usize) -> GrantRequest {
+    GrantRequest {
         seq,
         customer: CustomerId(customer),
         input: 900,
@@ -73,8 +74,8 @@
 
 fn sizes() {
     title("Bytes of messages, without headers");
-    row("want, short prompt", 1, bytes(&ToDispatcher::Want(want(100_000, 15_000, 0))), "B");
-    row("want, long prompt", 1, bytes(&ToDispatcher::Want(want(100_000, 15_000, 4))), "B");
+    row("want, short prompt", 1, bytes(&ToDispatcher::GrantRequest(want(100_000, 15_000, 0))), "B");
+    row("want, long prompt", 1, bytes(&ToDispatcher::GrantRequest(want(100_000, 15_000, 4))), "B");
     let grant = FromDispatcher::Grant {
         seq: 100_000,
         endpoint: bramblecrank::config::EndpointId(900),
@@ -82,7 +83,7 @@
         lead: 4_000,
     };
     row("grant", 1, bytes(&grant), "B");
-    let done = ToDispatcher::Done { seq: 100_000, units: 1_500, ending: Ending::Answered };
+    let done = ToDispatcher::Done { seq: 100_000, units: 1_500, completion: Completion::Answered };
     row("done", 1, bytes(&done), "B");
     row("progress", 1, bytes(&ToDispatcher::Progress { seq: 100_000, units: 1_500 }), "B");
     row("whole heartbeat", 1, bytes(&Beat::Whole(beat(7))), "B");
@@ -132,7 +133,7 @@
         let mut seq = 0;
         let mut ask = |dispatcher: &mut Dispatcher, customer: u32, now| {
             seq += 1;
-            let want = ToDispatcher::Want(want(seq, customer, 0));
+            let want = ToDispatcher::GrantRequest(want(seq, customer, 0));
             dispatcher.receive(now, HostId(1), 1, want)
         };
         for n in 0..(customers * 4 + endpoints * 20) {
@@ -143,7 +144,7 @@
         for round in 0..rounds {
             let Some(Decision::Grant { seq, customer, .. }) = decisions.pop() else { continue };
             let now = round / 100;
-            let done = ToDispatcher::Done { seq, units: 1_200, ending: Ending::Answered };
+            let done = ToDispatcher::Done { seq, units: 1_200, completion: Completion::Answered };
             decisions.extend(dispatcher.receive(now, HostId(1), 1, done));
             decisions.extend(ask(&mut dispatcher, customer.0, now));
         }
@@ -238,24 +239,24 @@
 fn lost(endpoint: u64, request: u64) -> Observation {
     let endpoint = EndpointStart { id: format!("i-{endpoint:010x}"), started_at_ms: 1 };
     let fingerprint = Fingerprint::of("market-traders", &["/p/"], &request.to_be_bytes());
-    Observation { ago_ms: 1, what: Observed::Lost { endpoint, fingerprint, ran_ms: 100 } }
+    Observation { ago_ms: 1, event: ObservedEvent::Lost { endpoint, fingerprint, ran_ms: 100 } }
 }
 
 fn quarantine() {
     title("Requests that crash endpoints");
     for (crashes, requests) in [(3, 16), (30, 64), (256, 64), (256, 256)] {
-        let mut inquiry = Inquiry::default();
+        let mut analysis = CrashAnalysis::default();
         let start = Instant::now();
         for crash in 0..crashes {
             for request in 0..requests {
-                inquiry.take(crash, HostId(1), lost(crash, crash * requests + request));
+                analysis.record(crash, HostId(1), lost(crash, crash * requests + request));
             }
         }
         let taken = start.elapsed().as_secs_f64() * 1e6 / (crashes * requests) as f64;
         let size = format!("{crashes} crashes of {requests} requests");
         row("an observation taken in", &size, taken, "us");
         let start = Instant::now();
-        inquiry.review(10_000, |_| Suspicion::None);
+        analysis.review(10_000, |_| QuarantineState::None);
         row("a decision", &size, start.elapsed().as_secs_f64() * 1e3, "ms");
     }
     let observations = (0..64).map(|request| lost(1, request)).collect();
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use super::super::*;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::wire::{Ending, FromDispatcher, HostId, ToDispatcher, Want};
+use crate::wire::{Completion, FromDispatcher, GrantRequest, HostId, ToDispatcher};
 
 /// Milliseconds of one step.
 pub const STEP_MS: Millis = 10;
@@ -92,7 +92,7 @@
         state.to.clear();
         state.from.clear();
         let host = host(router);
-        let decisions = self.dispatchers[dispatcher].lost(self.now, host, session);
+        let decisions = self.dispatchers[dispatcher].on_session_lost(self.now, host, session);
         self.decide(dispatcher, decisions);
     }
 
@@ -137,7 +137,7 @@
         let state = &mut self.routers[router];
         state.next_seq += 1;
         let seq = state.next_seq;
-        let want = Want {
+        let want = GrantRequest {
             seq,
             customer: CustomerId(customer),
             input,
@@ -148,8 +148,8 @@
         state.customers.insert(seq, CustomerId(customer));
         match state.client.submit(self.now, want) {
             Submitted::Send(message) => state.to.push_back(message),
-            Submitted::Kept => {}
-            Submitted::Held { .. } => self.end(router, seq),
+            Submitted::Queued => {}
+            Submitted::Refused { .. } => self.end(router, seq),
         }
     }
 
@@ -189,7 +189,7 @@
         state.running = running;
         for (seq, _, units, endpoint) in due {
             let state = &mut self.routers[router];
-            if let Some(message) = state.client.finish(seq, units, Ending::Answered) {
+            if let Some(message) = state.client.finish(seq, units, Completion::Answered) {
                 state.to.push_back(message);
             }
             *self.load.entry(endpoint).or_default() -= 1;
@@ -241,7 +241,7 @@
                 Decision::Refuse { router, seq, reason, retry_after_ms, hold_ms, .. } => {
                     (router, FromDispatcher::Refuse { seq, reason, retry_after_ms, hold_ms })
                 }
-                Decision::LeftOut { .. } => continue,
+                Decision::Exclude { .. } => continue,
                 Decision::Reset { .. } => {
                     self.reset(dispatcher);
                     continue;
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -17,7 +17,7 @@
 use crate::member::View;
 use crate::peer::PeerReader;
 use crate::quarantine::Quarantines;
-use crate::registry::Hearing;
+use crate::registry::Origin;
 use crate::rollout::{Grants, Rollouts};
 use crate::routing::Routing;
 use crate::wire::{HostId, KEEP_ALIVE, Role, SentBytes, Traffic, write_frame, write_keep_alive};
@@ -203,7 +203,7 @@
             Event::Quarantine => {
                 let now = self.quarantine.borrow_and_update().clone();
                 let told = std::mem::replace(&mut self.quarantined, now.revision());
-                now.news_after(told).map(FeedMessage::Quarantine)
+                now.update_after(told).map(FeedMessage::Quarantine)
             }
             Event::EndpointsDue => self.endpoints(),
             Event::Routing => {
@@ -241,14 +241,14 @@
                 None
             }
             FeedRequest::CrashReport(report) => {
-                if !publication.followed.quarantine.report(publication.subscriber, report) {
+                if !publication.followed.quarantine.receive_report(publication.subscriber, report) {
                     log::warn!("quarantine: too many reports of crashes, one is dropped");
                 }
                 None
             }
             FeedRequest::EndpointsLeave(starts) => {
                 // As first hand: the other control hosts are told.
-                publication.followed.registry.leave(&starts, Hearing::FirstHand);
+                publication.followed.registry.record_leaving(&starts, Origin::Direct);
                 None
             }
             FeedRequest::Speak { waking } => Some(FeedMessage::Speaks { waking }),
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 
-use super::dialect::{prompt_parts, token_counts};
-use super::endpoints::ColdPart;
+use super::endpoints::ColdLimit;
+use super::header_names::{prompt_parts, token_counts};
 use super::nearby::why_nowhere;
 use super::neighbours::{REFUSED_MS, RENEW_MS};
 use super::refusal::Refusal;
@@ -34,7 +34,7 @@
 /// Any number will do where only one endpoint fits.
 const ANY: Preference = Preference::Random(0);
 /// Cold endpoints bear as many requests as others.
-const ANY_COLD: ColdPart = ColdPart { per_second: None, routers: 1, router: HostId(1) };
+const ANY_COLD: ColdLimit = ColdLimit { per_second: None, routers: 1, router: HostId(1) };
 
 #[test]
 fn routers_with_nothing_under_way_do_not_agree_on_one_endpoint() {
@@ -42,7 +42,7 @@
     let mut chosen = std::collections::BTreeMap::new();
     for router in 0..1_000 {
         let preference = Preference::Random(router);
-        let idle = Endpoints::default();
+        let idle = EndpointTracker::default();
         let id = &idle.choose(0, ready.iter(), &[], preference, ANY_COLD).unwrap().id;
         *chosen.entry(id.clone()).or_insert(0) += 1;
     }
@@ -53,7 +53,7 @@
 fn requests_with_the_same_prompt_go_to_the_same_endpoint() {
     let ready = ["a", "b", "c", "d", "e"].map(endpoint);
     let choose = |affinity| {
-        let idle = Endpoints::default();
+        let idle = EndpointTracker::default();
         let chosen = idle.choose(0, ready.iter(), &[], Preference::Affinity(affinity), ANY_COLD);
         chosen.unwrap().id.clone()
     };
@@ -65,9 +65,9 @@
 #[test]
 fn the_least_loaded_endpoint_that_was_not_tried_is_chosen() {
     let ready = [endpoint("a"), endpoint("b"), endpoint("c")];
-    let mut endpoints = Endpoints::default();
-    endpoints.begin(0, "a", 0, 0);
-    endpoints.begin(0, "b", 0, 0);
+    let mut endpoints = EndpointTracker::default();
+    endpoints.record_sent(0, "a", 0, 0);
+    endpoints.record_sent(0, "b", 0, 0);
     let chosen = endpoints.choose(0, ready.iter(), &[], ANY, ANY_COLD).unwrap();
     assert_eq!(chosen.id, "c");
     let chosen =
@@ -92,9 +92,9 @@
 #[test]
 fn an_endpoint_that_cannot_be_reached_is_avoided_and_tried_again() {
     let ready = [endpoint("a"), endpoint("b")];
-    let mut endpoints = Endpoints::default();
-    endpoints.begin(0, "b", 0, 0);
-    let avoided = endpoints.failed(0, "a", 0, Failure::Unreachable);
+    let mut endpoints = EndpointTracker::default();
+    endpoints.record_sent(0, "b", 0, 0);
+    let avoided = endpoints.record_failure(0, "a", 0, Failure::Unreachable);
     assert!(avoided > 0);
     assert_eq!(endpoints.choose(0, ready.iter(), &[], ANY, ANY_COLD).unwrap().id, "b");
     assert_eq!(endpoints.choose(avoided, ready.iter(), &[], ANY, ANY_COLD).unwrap().id, "a");
@@ -105,18 +105,18 @@
 #[test]
 fn an_endpoint_whose_address_another_holds_is_never_chosen_again() {
     let ready = [endpoint("a")];
-    let mut endpoints = Endpoints::default();
-    endpoints.failed(0, "a", 0, Failure::Replaced);
+    let mut endpoints = EndpointTracker::default();
+    endpoints.record_failure(0, "a", 0, Failure::Replaced);
     assert!(endpoints.choose(1_000_000, ready.iter(), &[], ANY, ANY_COLD).is_none());
 }
 
 #[test]
 fn one_error_may_be_chance_and_two_in_a_row_are_not() {
-    let mut endpoints = Endpoints::default();
-    assert_eq!(endpoints.failed(0, "a", 0, Failure::Failed), 0);
-    endpoints.succeeded(0, "a", 0);
-    assert_eq!(endpoints.failed(1, "a", 0, Failure::Failed), 0);
-    assert!(endpoints.failed(2, "a", 0, Failure::Failed) > 0);
+    let mut endpoints = EndpointTracker::default();
+    assert_eq!(endpoints.record_failure(0, "a", 0, Failure::Failed), 0);
+    endpoints.record_success(0, "a", 0);
+    assert_eq!(endpoints.record_failure(1, "a", 0, Failure::Failed), 0);
+    assert!(endpoints.record_failure(2, "a", 0, Failure::Failed) > 0);
 }
 
 #[test]
@@ -294,12 +294,12 @@
         let mut sent = 0;
         for router in 0..routers {
             let router = HostId(router as u32);
-            let part = ColdPart { per_second: Some(20.0), routers, router };
-            let mut endpoints = Endpoints::default();
+            let part = ColdLimit { per_second: Some(20.0), routers, router };
+            let mut endpoints = EndpointTracker::default();
             for now in 0..1_000 {
                 let ready = std::iter::once(&cold);
                 if endpoints.choose(now, ready, &[], ANY, part).is_some() {
-                    endpoints.begin(now, "cold", 0, 0);
+                    endpoints.record_sent(now, "cold", 0, 0);
                     sent += 1;
                 }
             }
@@ -312,9 +312,9 @@
 fn a_cold_endpoint_gets_more_a_second_later_and_a_warm_one_at_once() {
     let mut cold = endpoint("a");
     cold.warmup_ms = 3_000;
-    let part = ColdPart { per_second: Some(1.0), routers: 1, router: HostId(1) };
-    let mut endpoints = Endpoints::default();
-    endpoints.begin(10, "a", 0, 0);
+    let part = ColdLimit { per_second: Some(1.0), routers: 1, router: HostId(1) };
+    let mut endpoints = EndpointTracker::default();
+    endpoints.record_sent(10, "a", 0, 0);
     let choose = |now, endpoint: &Registration| {
         endpoints.choose(now, std::iter::once(endpoint), &[], ANY, part).is_some()
     };
@@ -327,14 +327,14 @@
 #[test]
 fn what_was_sent_before_a_cold_start_was_known_counts_for_it() {
     let cold = Registration { started_at_ms: 2_000, warmup_ms: 3_000, ..endpoint("a") };
-    let part = ColdPart { per_second: Some(2.0), routers: 1, router: HostId(1) };
-    let mut endpoints = Endpoints::default();
-    let may_send = |endpoints: &Endpoints, now| {
+    let part = ColdLimit { per_second: Some(2.0), routers: 1, router: HostId(1) };
+    let mut endpoints = EndpointTracker::default();
+    let may_send = |endpoints: &EndpointTracker, now| {
         endpoints.choose(now, std::iter::once(&cold), &[], ANY, part).is_some()
     };
-    endpoints.begin(10, "a", 1_000, 0);
+    endpoints.record_sent(10, "a", 1_000, 0);
     assert!(may_send(&endpoints, 11));
-    endpoints.begin(12, "a", 2_000, 0);
+    endpoints.record_sent(12, "a", 2_000, 0);
     assert!(!may_send(&endpoints, 13));
     assert!(may_send(&endpoints, 1_010));
 }
@@ -344,9 +344,15 @@
     use axum::http::{HeaderMap, HeaderName, HeaderValue};
 
     let reserved = HeaderName::from_static("x-reserved");
-    let dialect = Dialect { reserved: vec![reserved.clone()], ..Dialect::native() };
+    let header_names = HeaderNames { reserved: vec![reserved.clone()], ..HeaderNames::native() };
     let mut headers = HeaderMap::new();
-    let names = [&dialect.key, &dialect.endpoint, &dialect.customer, &dialect.copy_from, &reserved];
+    let names = [
+        &header_names.key,
+        &header_names.endpoint,
+        &header_names.customer,
+        &header_names.copy_from,
+        &reserved,
+    ];
     for name in names {
         headers.insert(name, HeaderValue::from_static("said by the caller"));
     }
@@ -357,11 +363,11 @@
         copy_from: None,
         after_event: None,
     };
-    dialect.write_call(&mut headers, &forwarding);
+    header_names.write_call(&mut headers, &forwarding);
     let left: Vec<_> = headers.iter().map(|(name, value)| (name.as_str(), value)).collect();
     assert_eq!(left.len(), 2, "{left:?}");
-    assert_eq!(headers[&dialect.endpoint], "e1");
-    assert_eq!(headers[&dialect.deadline], "70");
+    assert_eq!(headers[&header_names.endpoint], "e1");
+    assert_eq!(headers[&header_names.deadline], "70");
 }
 
 #[test]
@@ -369,28 +375,30 @@
     let mut cold = endpoint("a");
     cold.warmup_ms = 3_000;
     for router in 0..300 {
-        let part = ColdPart { per_second: Some(6.1), routers: 63, router: HostId(router) };
-        let alone = part.left_to_placer(true);
-        assert!(Endpoints::default().choose(0, [&cold].into_iter(), &[], ANY, alone).is_none());
+        let part = ColdLimit { per_second: Some(6.1), routers: 63, router: HostId(router) };
+        let alone = part.reserved_for_placer(true);
+        assert!(
+            EndpointTracker::default().choose(0, [&cold].into_iter(), &[], ANY, alone).is_none()
+        );
     }
-    let without_bound = ANY_COLD.left_to_placer(true);
-    let choice = Endpoints::default().choose(0, [&cold].into_iter(), &[], ANY, without_bound);
+    let without_bound = ANY_COLD.reserved_for_placer(true);
+    let choice = EndpointTracker::default().choose(0, [&cold].into_iter(), &[], ANY, without_bound);
     assert!(choice.is_some());
 }
 
 #[test]
 fn what_was_seen_of_an_earlier_start_says_nothing_of_a_later_one() {
     let again = [Registration { started_at_ms: 2_000, ..endpoint("a") }];
-    let mut endpoints = Endpoints::default();
-    endpoints.begin(0, "a", 1_000, 500);
-    endpoints.failed(0, "a", 1_000, Failure::Replaced);
+    let mut endpoints = EndpointTracker::default();
+    endpoints.record_sent(0, "a", 1_000, 500);
+    endpoints.record_failure(0, "a", 1_000, Failure::Replaced);
     assert!(endpoints.choose(0, again.iter(), &[], ANY, ANY_COLD).is_some());
-    endpoints.begin(0, "a", 2_000, 500);
+    endpoints.record_sent(0, "a", 2_000, 500);
     // What ends now was sent to the earlier start.
-    endpoints.end("a", 1_000);
-    assert_eq!(endpoints.failed(1, "a", 1_000, Failure::Replaced), 0);
+    endpoints.record_end("a", 1_000);
+    assert_eq!(endpoints.record_failure(1, "a", 1_000, Failure::Replaced), 0);
     let other = [again[0].clone(), endpoint("b")];
     assert_eq!(endpoints.choose(1, other.iter(), &[], ANY, ANY_COLD).unwrap().id, "b");
-    endpoints.end("a", 2_000);
+    endpoints.record_end("a", 2_000);
     assert!(endpoints.choose(1, again.iter(), &[], ANY, ANY_COLD).is_some());
 }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -12,22 +12,22 @@
 use super::state::Router;
 use crate::config::{EndpointId, HallSet, ServiceId};
 use crate::dispatch::{
-    Client, Millis, REPORT_PATIENCE_MS, REPORT_PATIENCE_PART, Received, Submitted,
+    Client, MAX_REPORT_DELAY_MS, Millis, REPORT_DELAY_DIVISOR, Received, Submitted,
 };
 use crate::member::View;
 use crate::peer::Peers;
 use crate::settings::DispatchMode;
 use crate::wire::{
-    BatchSender, BatchWriter, Ending, FromDispatcher, Heartbeat, HostId, Open, Patient,
-    RefuseReason, ToDispatcher, Want,
+    BatchSender, BatchWriter, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Open,
+    Patient, RefuseReason, ToDispatcher,
 };
 
 /// How often a link without a dispatcher looks for one.
 const RETRY: Duration = Duration::from_millis(100);
 /// Longest time that a message waits for others to share its frame.
-const PATIENCE: Duration = Duration::from_millis(REPORT_PATIENCE_MS);
+const PATIENCE: Duration = Duration::from_millis(MAX_REPORT_DELAY_MS);
 /// A message waits at most this part of the time that requests take.
-const PATIENCE_PART: u32 = REPORT_PATIENCE_PART;
+const PATIENCE_PART: u32 = REPORT_DELAY_DIVISOR;
 /// Requests over which the time they take is averaged.
 const MEAN_OF: u32 = 16;
 
@@ -39,9 +39,9 @@
 }
 
 enum Event {
-    Submit { want: Want, verdict: oneshot::Sender<Verdict> },
+    Submit { want: GrantRequest, verdict: oneshot::Sender<Verdict> },
     Progress { seq: u64, units: u32 },
-    Finish { seq: u64, units: u32, ending: Ending },
+    Finish { seq: u64, units: u32, completion: Completion },
     Cancel { seq: u64 },
     Rest { endpoint: EndpointId, time: Millis },
     Leaving { endpoint: EndpointId, leaves: bool },
@@ -84,7 +84,7 @@
     }
 
     /// Asks for a grant; the ticket must be held until the request has ended.
-    pub fn submit(&self, want: Want) -> (Ticket, oneshot::Receiver<Verdict>) {
+    pub fn submit(&self, want: GrantRequest) -> (Ticket, oneshot::Receiver<Verdict>) {
         let (verdict, receiver) = oneshot::channel();
         let ticket = Ticket { link: self.clone(), seq: want.seq, units: 0, open: true };
         self.send(Event::Submit { want, verdict });
@@ -124,9 +124,9 @@
     }
 
     /// The request has ended.
-    pub fn finish(mut self, units: u32, ending: Ending) {
+    pub fn finish(mut self, units: u32, completion: Completion) {
         self.open = false;
-        self.link.send(Event::Finish { seq: self.seq, units, ending });
+        self.link.send(Event::Finish { seq: self.seq, units, completion });
     }
 }
 
@@ -137,8 +137,8 @@
         }
         let (seq, units) = (self.seq, self.units);
         self.link.send(Event::Cancel { seq });
-        let ending = Ending::Unused;
-        self.link.send(Event::Finish { seq, units, ending });
+        let completion = Completion::Unused;
+        self.link.send(Event::Finish { seq, units, completion });
     }
 }
 
@@ -215,10 +215,10 @@
                 let message = self.client.progress(seq, units);
                 self.send(message);
             }
-            Event::Finish { seq, units, ending } => {
+            Event::Finish { seq, units, completion } => {
                 self.verdicts.remove(&seq);
                 self.learn_run(seq);
-                let message = self.client.finish(seq, units, ending);
+                let message = self.client.finish(seq, units, completion);
                 self.send(message);
             }
             Event::Cancel { seq } => {
@@ -227,7 +227,7 @@
                 self.send(message);
             }
             Event::Rest { endpoint, time } => {
-                let message = self.client.rested(now, endpoint, time);
+                let message = self.client.record_rest(now, endpoint, time);
                 self.send(message);
             }
             Event::Leaving { endpoint, leaves } => {
@@ -249,15 +249,15 @@
         }
     }
 
-    fn submit(&mut self, want: Want, verdict: oneshot::Sender<Verdict>) {
+    fn submit(&mut self, want: GrantRequest, verdict: oneshot::Sender<Verdict>) {
         let now = self.peers.clock.now();
         let seq = want.seq;
         match self.client.submit(now, want) {
-            Submitted::Held { reason, retry_after_ms } => {
+            Submitted::Refused { reason, retry_after_ms } => {
                 // The caller may have left.
                 let _ = verdict.send(Verdict::Refuse { reason, retry_after_ms });
             }
-            Submitted::Kept => {
+            Submitted::Queued => {
                 self.verdicts.insert(seq, verdict);
             }
             Submitted::Send(message) => {
@@ -310,7 +310,7 @@
         let taken = self.verdicts.remove(&seq).is_some_and(|v| v.send(verdict).is_ok());
         if !taken {
             self.granted_at.remove(&seq);
-            let message = self.client.finish(seq, 0, Ending::Unused);
+            let message = self.client.finish(seq, 0, Completion::Unused);
             self.send(message);
         }
     }
@@ -321,7 +321,9 @@
         let of_reports = self.mean_run / PATIENCE_PART;
         match message {
             ToDispatcher::Done { .. } | ToDispatcher::Progress { .. } => of_reports.min(PATIENCE),
-            ToDispatcher::Want(_) if self.client.waiting_count() > 1 => of_reports.min(PATIENCE),
+            ToDispatcher::GrantRequest(_) if self.client.waiting_count() > 1 => {
+                of_reports.min(PATIENCE)
+            }
             _ => Duration::ZERO,
         }
     }
--- a/tests/rests/ways.rs
+++ b/tests/rests/ways.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use bramblecrank::gateway::{ColdPart, Endpoints, Failure, Preference};
+use bramblecrank::gateway::{ColdLimit, EndpointTracker, Failure, Preference};
 use bramblecrank::registry::Registration;
 use bramblecrank::wire::HostId;
 
 /// Milliseconds in which a share grows back in [`Way::Ramp`].
 const RAMP_MS: u64 = 1_000;
-const ANY_COLD: ColdPart = ColdPart { per_second: None, routers: 1, router: HostId(1) };
+const ANY_COLD: ColdLimit = ColdLimit { per_second: None, routers: 1, router: HostId(1) };
 
 /// A way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 /// One router.
 pub struct Router {
     way: Way,
-    endpoints: Endpoints,
+    endpoints: EndpointTracker,
     /// Endpoints whose rest was asked for, and those whose share grows back, since when.
     resting: Vec<String>,
     growing: BTreeMap<String, u64>,
@@ -35,7 +35,7 @@
 impl Router {
     pub fn new(way: Way) -> Router {
         let (resting, growing) = (Vec::new(), BTreeMap::new());
-        Router { way, endpoints: Endpoints::default(), resting, growing }
+        Router { way, endpoints: EndpointTracker::default(), resting, growing }
     }
 
     /// The number of the endpoint that a request goes to.
@@ -73,7 +73,7 @@
             let registration = ready.iter().find(|r| r.id == *id).unwrap();
             let rests = endpoints.rest_left(now, registration).is_some();
             if !rests {
-                endpoints.succeeded(now, id, 0);
+                endpoints.record_success(now, id, 0);
                 growing.insert(id.clone(), now);
             }
             rests
@@ -81,26 +81,26 @@
     }
 
     pub fn begin(&mut self, now: u64, id: &str) {
-        self.endpoints.begin(now, id, 0, 0);
+        self.endpoints.record_sent(now, id, 0, 0);
     }
 
     pub fn served(&mut self, now: u64, id: &str) {
-        self.endpoints.succeeded(now, id, 0);
-        self.endpoints.end(id, 0);
+        self.endpoints.record_success(now, id, 0);
+        self.endpoints.record_end(id, 0);
     }
 
     pub fn turned_away(&mut self, now: u64, id: &str, time: u64) {
         match self.way {
             Way::Failure => {
-                self.endpoints.failed(now, id, 0, Failure::Rejected);
+                self.endpoints.record_failure(now, id, 0, Failure::Rejected);
             }
             Way::Obey | Way::Ramp | Way::Trial => {
-                self.endpoints.asked_for_rest(now, id, 0, time);
+                self.endpoints.record_rest(now, id, 0, time);
                 if !self.resting.iter().any(|known| known == id) {
                     self.resting.push(id.to_string());
                 }
             }
         }
-        self.endpoints.end(id, 0);
+        self.endpoints.record_end(id, 0);
     }
 }
