--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,12 +1,12 @@
-//! Routes, services, callers' keys and limits: one whole document that the
-//! control hosts agree on, replaced as a whole by the highest version.
+//! The routing document: routes, services, customers' keys and limits. Control hosts agree on
+//! it, and a higher version replaces it as a whole.
 
-mod documents;
+mod current;
 mod model;
 #[cfg(test)]
 mod tests;
 
-pub use documents::{CurrentRouting, Routing};
+pub use current::{CurrentRouting, Routing};
 pub use model::{
     CustomerKeys, Document, Engine, Limits, Route, RouteKind, RoutingTable, ServicePool, Target,
 };
