--- a/src/control.rs
+++ b/src/control.rs
@@ -31,11 +31,11 @@
 use crate::error::{Error, Result};
 use crate::feed::{self, Followed, Followers, Publication, Subscriptions};
 use crate::peer::{Incoming, PeerReader, Peers};
-use crate::placement::{self, PlacementSession};
+use crate::placement::{self, PlacerHandle};
 use crate::quarantine::SharedQuarantine;
 use crate::registry::{SharedRegistry, saved};
 use crate::rollout::{Progress, SharedRollouts};
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
 use crate::spread::{self, Configs};
 use crate::store::{Disk, Found};
@@ -64,7 +64,7 @@
     /// The newest accepted configuration, as this host knows it.
     pub configs: Arc<Configs>,
     /// The routing in force, as this host knows it.
-    pub documents: Arc<Documents>,
+    pub documents: Arc<CurrentRouting>,
     /// Endpoints that registered themselves here or elsewhere.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
@@ -74,7 +74,7 @@
     /// What is shown of those that this host leads, by service.
     pub rollout_progress: Mutex<BTreeMap<String, Progress>>,
     /// The placer that runs here.
-    pub placement: PlacementSession,
+    pub placement: PlacerHandle,
     /// The feeds that are open from here.
     pub followers: Arc<Followers>,
     /// The agreement.
--- a/src/dispatch/capacity.rs
+++ b/src/dispatch/capacity.rs
@@ -78,7 +78,8 @@
         if !self.takes_work() || !reach.contains(self.hall) {
             return false;
         }
-        if self.rests.get(&router).is_some_and(|r| r.left(now).is_some() || r.is_tried(now)) {
+        if self.rests.get(&router).is_some_and(|r| r.remaining(now).is_some() || r.is_probing(now))
+        {
             return false;
         }
         if self.failures.get(&router).is_some_and(|f| f.until > now) {
@@ -203,8 +204,8 @@
     ) -> Option<Millis> {
         let in_reach = |e: &&EndpointEntry| e.takes_work() && reach.contains(e.hall);
         let mut rests = self.endpoints.values().filter(in_reach).map(|e| e.rests.get(&router));
-        let first = rests.next()??.left(now)?;
-        rests.try_fold(first, |shortest, rest| Some(shortest.min(rest?.left(now)?)))
+        let first = rests.next()??.remaining(now)?;
+        rests.try_fold(first, |shortest, rest| Some(shortest.min(rest?.remaining(now)?)))
     }
 
     /// Whether any endpoint has room.
@@ -253,7 +254,7 @@
     /// Records that an endpoint requested a rest of `time` milliseconds from a router.
     pub fn record_rest(&mut self, now: Millis, router: HostId, endpoint: EndpointId, time: Millis) {
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
-            state.rests.entry(router).or_default().ask(now, time);
+            state.rests.entry(router).or_default().extend(now, time);
         }
     }
 
@@ -271,7 +272,7 @@
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.outstanding += 1;
             if let Some(rest) = state.rests.get_mut(&router) {
-                rest.sent(now);
+                rest.record_sent(now);
             }
             state.prefixes.insert(prefix);
         }
@@ -282,7 +283,7 @@
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.outstanding = state.outstanding.saturating_sub(1);
             if let Some(rest) = state.rests.get_mut(&router) {
-                rest.ended();
+                rest.record_ended();
             }
         }
     }
@@ -314,7 +315,7 @@
         if let Some(state) = self.endpoints.get_mut(&endpoint) {
             state.failures.remove(&router);
             if let Some(rest) = state.rests.get_mut(&router) {
-                rest.served(now);
+                rest.record_served(now);
             }
         }
     }
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -126,7 +126,7 @@
         publication.view.mark_changed();
         Feed {
             follower: publication.followers.opened(publication.subscriber),
-            grants: publication.followed.rollouts.watch_offers(),
+            grants: publication.followed.rollouts.watch_grants(),
             publication,
             routing,
             changes,
@@ -203,7 +203,7 @@
             Event::Quarantine => {
                 let now = self.quarantine.borrow_and_update().clone();
                 let told = std::mem::replace(&mut self.quarantined, now.revision());
-                now.news_after(told).map(FeedMessage::Quarantine)
+                now.update_after(told).map(FeedMessage::Quarantine)
             }
             Event::EndpointsDue => self.endpoints(),
             Event::Routing => {
@@ -237,11 +237,11 @@
                 Some(FeedMessage::Neighbours(neighbours(&publication.view.borrow(), &hall)))
             }
             FeedRequest::RolloutReport(report) => {
-                publication.followed.rollouts.reported(publication.subscriber, report);
+                publication.followed.rollouts.record_report(publication.subscriber, report);
                 None
             }
             FeedRequest::CrashReport(report) => {
-                if !publication.followed.quarantine.report(publication.subscriber, report) {
+                if !publication.followed.quarantine.receive_report(publication.subscriber, report) {
                     log::warn!("quarantine: too many reports of crashes, one is dropped");
                 }
                 None
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -8,8 +8,8 @@
 use super::request::Call;
 use super::state::Gateway;
 use crate::dispatch::Millis;
-use crate::notice::{Notice, RestAsked};
-use crate::placement::StartOf;
+use crate::notice::{Notice, RequestedRest};
+use crate::placement::EndpointStartRef;
 use crate::registry::{EndpointStart, Origin, Registration};
 
 impl Call {
@@ -25,9 +25,9 @@
         if status == StatusCode::MISDIRECTED_REQUEST {
             return false;
         }
-        let notice = self.gateway.dialect.read_notice(status, response.headers());
+        let notice = self.gateway.header_names.read_notice(status, response.headers());
         self.gateway.take_notice(endpoint, &notice);
-        notice.rest.time().is_some()
+        notice.rest.duration_ms().is_some()
     }
 
     /// Milliseconds until the first endpoint that may serve it ends its rest, where all of
@@ -48,19 +48,19 @@
     /// while `endpoint` was the latest start known.
     pub(super) fn take_notice(self: &Arc<Self>, endpoint: &Registration, notice: &Notice) {
         let now = self.now();
-        self.with_endpoints(|endpoints| endpoints.heard(now, endpoint, notice));
+        self.with_endpoints(|endpoints| endpoints.record_notice(now, endpoint, notice));
         if notice.leaves {
             self.count_notice(endpoint, "leaves");
             self.leaves(EndpointStart::of(endpoint));
         }
         match &notice.rest {
-            RestAsked::None => {}
-            RestAsked::For(time) => {
+            RequestedRest::None => {}
+            RequestedRest::For(time) => {
                 self.count_notice(endpoint, "rests");
                 log::info!("gateway: endpoint {} asks for {time} ms of rest", endpoint.id);
                 self.rests(endpoint, *time);
             }
-            RestAsked::Unreadable(says) => {
+            RequestedRest::Unreadable(says) => {
                 self.count_notice(endpoint, "unreadable");
                 log::info!("gateway: endpoint {} asks for no time: {says:?}", endpoint.id);
             }
@@ -95,8 +95,8 @@
     fn rests(&self, endpoint: &Registration, time: Millis) {
         let now = self.now();
         let (id, started_at_ms) = (&endpoint.id, endpoint.started_at_ms);
-        self.with_endpoints(|endpoints| endpoints.asked_for_rest(now, id, started_at_ms, time));
-        self.placements.rest(StartOf { endpoint: id, started_at_ms }, time);
+        self.with_endpoints(|endpoints| endpoints.record_rest(now, id, started_at_ms, time));
+        self.placements.record_rest(EndpointStartRef { endpoint: id, started_at_ms }, time);
     }
 
     /// An endpoint told this router that it leaves. From here on that is known as if it had
--- a/src/gateway/observed.rs
+++ b/src/gateway/observed.rs
@@ -9,7 +9,7 @@
 use super::request::Call;
 use super::state::Gateway;
 use crate::registry::Registration;
-use crate::rollout::{Release, Sample, side_of};
+use crate::rollout::{Release, TallyKey, release_of};
 
 /// A request at an endpoint; it counts as open at the endpoint's release until dropped.
 pub(super) struct Observed {
@@ -18,7 +18,7 @@
     /// The endpoint's release.
     pub version: String,
     /// Where a release is rolled out: what the request counts for.
-    sample: Option<Sample>,
+    sample: Option<TallyKey>,
     is_cold: bool,
     sent_at: Instant,
     has_answered: bool,
@@ -31,16 +31,16 @@
         let gateway = call.gateway.clone();
         let table = gateway.rollouts.table();
         let rollout = table.get(&call.service).filter(|rollout| !rollout.stage.is_final());
-        let sample = rollout.map(|rollout| Sample {
+        let sample = rollout.map(|rollout| TallyKey {
             service: call.service.clone(),
             number: rollout.number,
             route: call.route.name.clone(),
-            release: side_of(rollout, &endpoint.version),
+            release: release_of(rollout, &endpoint.version),
         });
         gateway.with_releases(|releases| {
-            releases.tally.opened(&call.service, &endpoint.version);
+            releases.tally.record_opened(&call.service, &endpoint.version);
             if let Some(sample) = &sample {
-                releases.tally.sent(sample);
+                releases.tally.record_sent(sample);
             }
         });
         let observed = Observed {
@@ -80,8 +80,8 @@
         }
         let ms = self.sent_at.elapsed().as_secs_f64() * 1_000.0;
         self.gateway.with_releases(|releases| match self.is_cold {
-            true => releases.tally.answered_cold(sample),
-            false => releases.tally.answered(sample, ms),
+            true => releases.tally.record_answered_cold(sample),
+            false => releases.tally.record_answered(sample, ms),
         });
     }
 
@@ -93,8 +93,8 @@
         }
         if let Some(sample) = &self.sample {
             self.gateway.with_releases(|releases| match self.has_answered {
-                true => releases.tally.broke_off(sample),
-                false => releases.tally.failed(sample),
+                true => releases.tally.record_truncated(sample),
+                false => releases.tally.record_failed(sample),
             });
         }
         self.count("failed");
@@ -105,7 +105,7 @@
             return;
         }
         if let Some(sample) = &self.sample {
-            self.gateway.with_releases(|releases| releases.tally.unsent(sample));
+            self.gateway.with_releases(|releases| releases.tally.record_unsent(sample));
         }
         self.count("unsent");
     }
@@ -124,6 +124,6 @@
 
 impl Drop for Observed {
     fn drop(&mut self) {
-        self.gateway.with_releases(|r| r.tally.closed(&self.service, &self.version));
+        self.gateway.with_releases(|r| r.tally.record_closed(&self.service, &self.version));
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -9,8 +9,8 @@
 
 use super::budget::RetryBudgets;
 use super::connections::Connections;
-use super::dialect::Dialect;
-use super::endpoints::{ColdPart, Endpoints, Failure};
+use super::endpoints::{ColdLimit, EndpointTracker, Failure};
+use super::header_names::HeaderNames;
 use super::neighbours::Neighbours;
 use super::observed::Observed;
 use super::overload::Overload;
@@ -19,11 +19,11 @@
 use crate::feed::{Followed, Subscriptions};
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
-use crate::placement::{Ending, LocalPlacer, Placements, Reservation};
-use crate::quarantine::{Guard, KnownStarts, SharedQuarantine};
+use crate::placement::{Completion, LocalPlacer, PlacementClient, Reservation};
+use crate::quarantine::{CrashGuard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::settings::{GatewaySettings, RouterSettings};
 use crate::telemetry::GatewayMetrics;
 use crate::wire::Role;
@@ -37,26 +37,26 @@
     /// The other hosts.
     pub peers: Arc<Peers>,
     /// The routing in force.
-    pub documents: Arc<Documents>,
+    pub documents: Arc<CurrentRouting>,
     /// The endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
     pub rollouts: Arc<SharedRollouts>,
     /// Which requests crash endpoints.
-    pub guard: Arc<Guard>,
+    pub guard: Arc<CrashGuard>,
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Where requests for engines go.
-    pub placements: Arc<Placements>,
+    pub placements: Arc<PlacementClient>,
     /// Names and formats of heads.
-    pub dialect: Arc<Dialect>,
+    pub header_names: Arc<HeaderNames>,
     /// Connections to endpoints.
     pub connections: Connections,
     /// Counters.
     pub metrics: GatewayMetrics,
     /// Begins a planned stop.
     pub stop: CancellationToken,
-    pub(super) endpoints: Mutex<Endpoints>,
+    pub(super) endpoints: Mutex<EndpointTracker>,
     /// Endpoints that are being asked whether they take work.
     start_checks: Mutex<BTreeSet<String>>,
     /// Notified when such an endpoint has answered.
@@ -76,15 +76,15 @@
         settings: RouterSettings,
         rules: GatewaySettings,
         peers: Arc<Peers>,
-        dialect: Arc<Dialect>,
+        header_names: Arc<HeaderNames>,
         stop: CancellationToken,
     ) -> Arc<Gateway> {
-        let documents = Arc::new(Documents::default());
+        let documents = Arc::new(CurrentRouting::default());
         let registry = Arc::new(SharedRegistry::default());
         let rollouts = Arc::new(SharedRollouts::default());
         let hall = settings.host.hall.clone();
         let quarantine = Arc::new(SharedQuarantine::default());
-        let guard = Arc::new(Guard::new(quarantine.clone(), peers.me, peers.clock));
+        let guard = Arc::new(CrashGuard::new(quarantine.clone(), peers.me, peers.clock));
         let followed = Followed {
             documents: documents.clone(),
             registry: registry.clone(),
@@ -98,7 +98,7 @@
         let overload = Arc::new(Mutex::new(Overload::new(rules.overload)));
         let lag = watch_lag(overload.clone());
         let most_connections = rules.overload.caller_connections();
-        let placements = Placements::start(peers.clone(), feeds.clone(), local, hall, lag);
+        let placements = PlacementClient::start(peers.clone(), feeds.clone(), local, hall, lag);
         let budgets = RetryBudgets::new(rules.retry_budget, 1);
         Arc::new(Gateway {
             settings,
@@ -110,7 +110,7 @@
             guard,
             feeds,
             placements,
-            dialect,
+            header_names,
             connections: Connections::new(most_connections),
             metrics: GatewayMetrics::default(),
             stop,
@@ -134,7 +134,7 @@
     }
 
     /// Works on what was seen of endpoints.
-    pub(super) fn with_endpoints<T>(&self, f: impl FnOnce(&mut Endpoints) -> T) -> T {
+    pub(super) fn with_endpoints<T>(&self, f: impl FnOnce(&mut EndpointTracker) -> T) -> T {
         f(&mut self.endpoints.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
@@ -144,9 +144,9 @@
     }
 
     /// This router's part of what cold endpoints of a service bear.
-    pub(super) fn cold_part(&self, per_second: Option<f64>, is_engine: bool) -> ColdPart {
+    pub(super) fn cold_limit(&self, per_second: Option<f64>, is_engine: bool) -> ColdLimit {
         let routers = self.feeds.routers();
-        ColdPart { per_second, routers, router: self.peers.me }.left_to_placer(is_engine)
+        ColdLimit { per_second, routers, router: self.peers.me }.reserved_for_placer(is_engine)
     }
 
     /// Works on the retry budgets.
@@ -192,13 +192,13 @@
     /// An endpoint answered a request.
     pub(super) fn note_success(&self, endpoint: &Registration) {
         let now = self.now();
-        self.with_endpoints(|e| e.succeeded(now, &endpoint.id, endpoint.started_at_ms));
+        self.with_endpoints(|e| e.record_success(now, &endpoint.id, endpoint.started_at_ms));
     }
 
     /// A request failed at an endpoint.
     pub(super) fn note_failure(&self, id: &str, started_at_ms: u64, failure: Failure) {
         let now = self.now();
-        let avoided = self.with_endpoints(|e| e.failed(now, id, started_at_ms, failure));
+        let avoided = self.with_endpoints(|e| e.record_failure(now, id, started_at_ms, failure));
         if avoided > 0 {
             log::info!("gateway: endpoint {id} avoided for {avoided} ms: {failure:?}");
         }
@@ -306,7 +306,7 @@
     ) -> Ticket {
         let now = gateway.now();
         let (endpoint, started_at_ms) = (endpoint.id.clone(), endpoint.started_at_ms);
-        gateway.with_endpoints(|e| e.begin(now, &endpoint, started_at_ms, prompt_tokens));
+        gateway.with_endpoints(|e| e.record_sent(now, &endpoint, started_at_ms, prompt_tokens));
         let gateway = gateway.clone();
         Ticket {
             gateway,
@@ -323,10 +323,12 @@
     pub fn begun(&mut self) {
         if !std::mem::replace(&mut self.begun, true) {
             let tokens = self.prompt_tokens;
-            self.gateway.with_endpoints(|e| e.begun(&self.endpoint, self.started_at_ms, tokens));
+            self.gateway.with_endpoints(|e| {
+                e.record_first_event(&self.endpoint, self.started_at_ms, tokens)
+            });
             self.observed.answered();
             if let Some(reservation) = &mut self.reservation {
-                reservation.begun();
+                reservation.record_first_event();
             }
         }
     }
@@ -338,9 +340,9 @@
     }
 
     /// Says how the request ended.
-    pub fn set_ending(&mut self, ending: Ending) {
+    pub fn set_ending(&mut self, ending: Completion) {
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_ending(ending);
+            reservation.set_completion(ending);
         }
     }
 }
@@ -348,8 +350,9 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         let tokens = if self.begun { 0 } else { self.prompt_tokens };
-        self.gateway.with_endpoints(|e| e.begun(&self.endpoint, self.started_at_ms, tokens));
-        self.gateway.with_endpoints(|e| e.end(&self.endpoint, self.started_at_ms));
+        self.gateway
+            .with_endpoints(|e| e.record_first_event(&self.endpoint, self.started_at_ms, tokens));
+        self.gateway.with_endpoints(|e| e.record_end(&self.endpoint, self.started_at_ms));
     }
 }
 
@@ -362,11 +365,11 @@
     while watch.changed().await.is_ok() {
         let changes = gateway.registry.read(|r| r.changes_after(seen, usize::MAX, Scope::All));
         seen = changes.upto;
-        let news = known_starts.news(&changes.endpoints);
+        let news = known_starts.apply_changes(&changes.endpoints);
         for start in &news {
             gateway.connections.forget(start.id());
         }
-        gateway.guard.take_starts(news);
+        gateway.guard.record_starts(news);
         for endpoint in &changes.endpoints {
             if endpoint.state != EndpointState::Ready {
                 gateway.connections.forget(&endpoint.id);
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -33,15 +33,15 @@
 mod unanswered;
 mod warmth;
 
-pub use client::{Placed, Placements, Reservation};
+pub use client::{PlacementClient, PlacementOutcome, Reservation};
 pub use distance::Distances;
 pub use engines::EngineInfo;
-pub use knowledge::StartOf;
+pub use knowledge::EndpointStartRef;
 pub use local::LocalPlacer;
 pub use message::{
-    Ending, FromPlacer, KeptParts, Knowledge, OpenRequest, PlacementRequest, PromptParts, Refusal,
-    RestTold, ToPlacer,
+    Completion, FromPlacer, KeptParts, Knowledge, OpenRequest, PlacementRequest, PromptParts,
+    Refusal, RestTold, ToPlacer,
 };
 pub use placer::{Decision, Placer};
 pub use rules::PlacementRules;
-pub use server::{PlacementSession, serve};
+pub use server::{PlacerHandle, serve};
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -25,7 +25,7 @@
     /// Milliseconds in which its first event is in time, from now on.
     pub objective_ms: u32,
     /// Longest pause between events that is in time, in milliseconds; 0 for none.
-    pub pause_ms: u32,
+    pub pause_objective_ms: u32,
     /// The data hall of the router that asks.
     pub hall: String,
     /// Endpoints that it may go to.
@@ -33,14 +33,14 @@
     /// Endpoints that it must not go to.
     pub avoid: Vec<String>,
     /// Whether it was asked for a moment ago with other endpoints, and counts as asked.
-    pub asked_before: bool,
+    pub demand_recorded: bool,
     /// Whether it is rather asked for with other endpoints than queued where none has room.
     pub has_alternative: bool,
 }
 
 /// How a placed request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum Completion {
     /// The endpoint answered it.
     Served,
     /// The endpoint could not be reached, failed or broke off.
@@ -67,7 +67,7 @@
     /// Most tokens of output.
     pub output_tokens: u32,
     /// Longest pause between events that is in time, in milliseconds; 0 for none.
-    pub pause_ms: u32,
+    pub pause_objective_ms: u32,
     /// Whether its first event has come.
     pub begun: bool,
 }
@@ -124,7 +124,7 @@
         /// The request's number.
         seq: u64,
         /// How.
-        ending: Ending,
+        completion: Completion,
     },
 }
 
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -19,7 +19,7 @@
 use crate::peer::PeerReader;
 use crate::region::Regions;
 use crate::registry::SharedRegistry;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::wire::{BatchSender, BatchWriter, HostId, SentBytes};
 
 /// How often the engines are looked up even where no change was told.
@@ -37,7 +37,7 @@
 
 /// Where routers' connections to the placer are handed over.
 #[derive(Clone, Debug)]
-pub struct PlacementSession {
+pub struct PlacerHandle {
     events: mpsc::Sender<Event>,
     sent: SentBytes,
 }
@@ -48,11 +48,11 @@
     rules: PlacementRules,
     clock: Clock,
     leads: impl Fn() -> Option<u64> + Send + 'static,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     sent: SentBytes,
-) -> PlacementSession {
+) -> PlacerHandle {
     let (events, inbox) = mpsc::channel(INBOX);
     let mut placer = Placer::new(rules);
     placer.set_distances(Distances::new(regions.clone()));
@@ -68,10 +68,10 @@
         sessions: HashMap::new(),
     };
     tokio::spawn(task.run(inbox));
-    PlacementSession { events, sent }
+    PlacerHandle { events, sent }
 }
 
-impl PlacementSession {
+impl PlacerHandle {
     /// Serves one router's connection until it closes.
     pub async fn attach(
         self,
@@ -98,7 +98,7 @@
 
 struct Task {
     clock: Clock,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Placer,
--- /dev/null
+++ b/src/quarantine/crash_analysis.rs
@@ -0,0 +1,210 @@
+//! Analysis of recent crashes from the observations of all routers.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use super::Fingerprint;
+use super::StartEvent;
+use super::crash::Crash;
+use super::culprits::{Blame, QuarantineState, culprits};
+use super::report::{Observation, ObservedEvent};
+use super::starts::Starts;
+use crate::dispatch::Millis;
+use crate::registry::EndpointStart;
+use crate::wire::HostId;
+
+/// Milliseconds for which crashes count: as long as a blamed request is refused for the first
+/// time. Until then each review checks whether another request explains the crashes better.
+const KEPT_MS: Millis = 10 * 60_000;
+/// Crashes that are kept: those of some minutes of an outage, 4 MB at most.
+const MAX_CRASHES: usize = 256;
+/// Milliseconds for which a request is not blamed after it was served completely: if many
+/// callers send the same request, such as one with an empty body, the outage of a data hall loses
+/// many of them at once.
+const SERVED_MS: Millis = 10_000;
+/// Entries of the map of requests that are exempt from blame, and of the map of endpoints that
+/// were alive.
+const MAX_TIMES: usize = 1_024;
+
+/// The result of a review of all crashes.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Review {
+    /// Requests that are blamed, and not refused yet.
+    pub blamed: Vec<Blame>,
+    /// Requests that were blamed here and no longer are: they were served, the endpoints are
+    /// alive, or another request explains the crashes better.
+    pub cleared: Vec<Fingerprint>,
+}
+
+/// The crashes of the last minutes, and the requests blamed for them.
+#[derive(Clone, Debug, Default)]
+pub struct CrashAnalysis {
+    crashes: VecDeque<Crash>,
+    starts: Starts,
+    /// When starts of endpoints were last known to be alive.
+    alive: BTreeMap<EndpointStart, Millis>,
+    /// Until when requests are exempt from blame.
+    exempt_until: BTreeMap<Fingerprint, Millis>,
+    newly_served: BTreeSet<Fingerprint>,
+    /// Requests that were blamed here, for crashes that are all still kept, so that a review can
+    /// clear them.
+    blamed: BTreeSet<Fingerprint>,
+    has_changes: bool,
+    reviewed_at: Millis,
+}
+
+impl CrashAnalysis {
+    /// Records an observation that a router reported.
+    pub fn record(&mut self, now: Millis, router: HostId, observation: Observation) {
+        let at = now.saturating_sub(observation.ago_ms.into());
+        self.has_changes = true;
+        match observation.event {
+            ObservedEvent::Lost { endpoint, fingerprint, ran_ms } => {
+                if !self.was_alive(at, &endpoint) && !self.is_exempt(at, &fingerprint) {
+                    self.crash_at(at, router, endpoint).add_lost(fingerprint, ran_ms);
+                }
+            }
+            ObservedEvent::Alive(endpoint) => self.record_alive(now, at, endpoint),
+            ObservedEvent::Served(fingerprint) => self.record_served(at, fingerprint),
+        }
+        self.drop_expired(now);
+    }
+
+    fn was_alive(&self, at: Millis, endpoint: &EndpointStart) -> bool {
+        self.alive.get(endpoint).is_some_and(|alive| at <= *alive)
+    }
+
+    /// Records that an endpoint was alive at this time, which refutes crashes of it before. An
+    /// observation that belongs to a later start of the endpoint is ignored.
+    fn record_alive(&mut self, now: Millis, at: Millis, endpoint: EndpointStart) {
+        if self.starts.is_from_later_start(at, &endpoint) {
+            return;
+        }
+        let is_refuted = |crash: &Crash| crash.endpoint == endpoint && crash.last_lost_at <= at;
+        for crash in self.crashes.iter().filter(|crash| is_refuted(crash)) {
+            self.starts.record_refuted(now, crash.clone(), at);
+        }
+        self.crashes.retain(|crash| !is_refuted(crash));
+        record_latest(&mut self.alive, endpoint, at);
+    }
+
+    /// Records that a start of an endpoint became known. If an earlier start seemed alive shortly
+    /// before, that was this start, so crashes of the earlier one count again.
+    fn record_start(&mut self, now: Millis, start: &EndpointStart) {
+        let confirmed = self.starts.record_start(now, start);
+        for crash in confirmed {
+            self.has_changes = true;
+            self.alive.remove(&crash.endpoint);
+            let position = self.crashes.iter().take_while(|known| known.at <= crash.at).count();
+            self.crashes.insert(position, crash);
+        }
+    }
+
+    /// Records which starts of endpoints became known.
+    pub fn record_starts(&mut self, now: Millis, events: Vec<StartEvent>) {
+        for event in events {
+            match event {
+                StartEvent::Started(start) => self.record_start(now, &start),
+                StartEvent::Gone(endpoint) => self.starts.forget(&endpoint),
+            }
+        }
+    }
+
+    fn is_exempt(&self, at: Millis, fingerprint: &Fingerprint) -> bool {
+        self.exempt_until.get(fingerprint).is_some_and(|until| at < *until)
+    }
+
+    /// The crash of an endpoint at about this time, which is added if there is none yet.
+    fn crash_at(&mut self, at: Millis, router: HostId, endpoint: EndpointStart) -> &mut Crash {
+        let is_same = |crash: &Crash| crash.includes(&endpoint, at);
+        let index = self.crashes.iter().position(is_same).unwrap_or_else(|| {
+            self.crashes.push_back(Crash::new(endpoint, at, router));
+            self.crashes.len() - 1
+        });
+        let crash = &mut self.crashes[index];
+        crash.record_report(at, router);
+        crash
+    }
+
+    /// Records that a request was served, which shows that it does not crash endpoints.
+    fn record_served(&mut self, at: Millis, fingerprint: Fingerprint) {
+        for crash in self.crashes.iter_mut().filter(|crash| crash.at < at + SERVED_MS) {
+            crash.lost.remove(&fingerprint);
+        }
+        self.newly_served.insert(fingerprint.clone());
+        record_latest(&mut self.exempt_until, fingerprint, at + SERVED_MS);
+    }
+
+    /// Discards the losses of a request that may run again because its time is over or an
+    /// operator released it: earlier crashes no longer count against it.
+    pub fn discard_losses(&mut self, now: Millis, fingerprint: &Fingerprint) {
+        for crash in &mut self.crashes {
+            crash.lost.remove(fingerprint);
+        }
+        self.blamed.remove(fingerprint);
+        self.has_changes = true;
+        record_latest(&mut self.exempt_until, fingerprint.clone(), now);
+    }
+
+    fn drop_expired(&mut self, now: Millis) {
+        self.crashes.retain(|crash| !crash.lost.is_empty());
+        while self.crashes.len() > MAX_CRASHES
+            || self.crashes.front().is_some_and(|crash| crash.at + KEPT_MS <= now)
+        {
+            let Some(dropped) = self.crashes.pop_front() else { return };
+            self.blamed.retain(|fingerprint| !dropped.lost.contains_key(fingerprint));
+        }
+    }
+
+    /// Requests that were blamed here and have not been cleared since.
+    pub fn blamed(&self) -> &BTreeSet<Fingerprint> {
+        &self.blamed
+    }
+
+    /// Whether a review may have a new result: something was recorded since the last one, or the
+    /// losses of a single router have begun to count.
+    pub fn is_due(&self, now: Millis) -> bool {
+        let is_unconfirmed = |crash: &Crash| !crash.is_confirmed(self.reviewed_at);
+        self.has_changes || self.crashes.iter().any(|c| is_unconfirmed(c) && c.is_confirmed(now))
+    }
+
+    /// Reviews all crashes.
+    pub fn review(
+        &mut self,
+        now: Millis,
+        quarantine_state: impl Fn(&Fingerprint) -> QuarantineState,
+    ) -> Review {
+        self.drop_expired(now);
+        self.has_changes = false;
+        self.reviewed_at = now;
+        // Requests that were refused for crashes that are not recorded here need no more proof.
+        let is_settled = |f: &Fingerprint| {
+            quarantine_state(f) == QuarantineState::Refused && !self.blamed.contains(f)
+        };
+        let confirmed = self.crashes.iter().filter(|crash| crash.is_confirmed(now));
+        let confirmed: Vec<_> = confirmed.collect();
+        let mut blamed = culprits(&confirmed, is_settled, &quarantine_state);
+        let is_blamed = |f: &Fingerprint| blamed.iter().any(|blame| blame.fingerprint == *f);
+        let cleared: Vec<_> = self.blamed.iter().filter(|f| !is_blamed(f)).cloned().collect();
+        self.blamed = blamed.iter().map(|blame| blame.fingerprint.clone()).collect();
+        blamed.retain(|blame| quarantine_state(&blame.fingerprint) != QuarantineState::Refused);
+        Review { blamed, cleared }
+    }
+
+    /// Takes the requests that were served since the last call.
+    pub fn take_served(&mut self) -> BTreeSet<Fingerprint> {
+        std::mem::take(&mut self.newly_served)
+    }
+}
+
+/// Records the latest time for a key, and evicts the key with the earliest time if there are too
+/// many.
+fn record_latest<K: Ord + Clone>(times: &mut BTreeMap<K, Millis>, key: K, at: Millis) {
+    let time = times.entry(key).or_default();
+    *time = at.max(*time);
+    if times.len() > MAX_TIMES {
+        let earliest = times.iter().min_by_key(|(_, at)| **at);
+        if let Some(key) = earliest.map(|(key, _)| key.clone()) {
+            times.remove(&key);
+        }
+    }
+}
--- a/src/quarantine/known_starts.rs
+++ b/src/quarantine/known_starts.rs
@@ -1,50 +1,51 @@
-//! Follows which starts of endpoints are known.
+//! Tracks the latest known start of each endpoint.
 
 use std::collections::HashMap;
 
 use crate::registry::{EndpointStart, EndpointState, Registration};
 
-/// A step in an endpoint's life.
+/// A change of the latest known start of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StartNews {
-    /// This start is the latest that is known.
+pub enum StartEvent {
+    /// This start became the latest known one.
     Started(EndpointStart),
     /// The endpoint is gone.
     Gone(String),
 }
 
-impl StartNews {
+impl StartEvent {
     /// The endpoint's id.
     pub fn id(&self) -> &str {
         match self {
-            StartNews::Started(start) => &start.id,
-            StartNews::Gone(id) => id,
+            StartEvent::Started(start) => &start.id,
+            StartEvent::Gone(id) => id,
         }
     }
 }
 
-/// The starts that are known, as a registry tells them.
+/// The latest known start of each endpoint, from the changes of a registry.
 #[derive(Clone, Debug, Default)]
 pub struct KnownStarts {
     starts: HashMap<String, u64>,
 }
 
 impl KnownStarts {
-    /// What is new by changes of a registry, which are told in their order.
-    pub fn news(&mut self, changes: &[Registration]) -> Vec<StartNews> {
-        let mut news = Vec::new();
+    /// Applies a registry's changes, which must be passed in order, and returns the events that
+    /// follow from them.
+    pub fn apply_changes(&mut self, changes: &[Registration]) -> Vec<StartEvent> {
+        let mut events = Vec::new();
         for endpoint in changes {
             if endpoint.state == EndpointState::Gone {
                 if self.starts.remove(&endpoint.id).is_some() {
-                    news.push(StartNews::Gone(endpoint.id.clone()));
+                    events.push(StartEvent::Gone(endpoint.id.clone()));
                 }
                 continue;
             }
             let before = self.starts.insert(endpoint.id.clone(), endpoint.started_at_ms);
             if before != Some(endpoint.started_at_ms) {
-                news.push(StartNews::Started(EndpointStart::of(endpoint)));
+                events.push(StartEvent::Started(EndpointStart::of(endpoint)));
             }
         }
-        news
+        events
     }
 }
