--- a/src/registry/tests/leaving.rs
+++ b/src/registry/tests/leaving.rs
@@ -14,8 +14,8 @@
 fn a_start_reported_as_leaving_takes_no_work_whatever_is_reported_later() {
     let mut registry = Registry::default();
     registry.merge(started(1_000, 5), Relayed);
-    let now = registry.record_leaving(&start(1_000), Relayed).unwrap();
-    assert_eq!((now.state, now.sequence), (EndpointState::Leaving, 5));
+    let current = registry.record_leaving(&start(1_000), Relayed).unwrap();
+    assert_eq!((current.state, current.sequence), (EndpointState::Leaving, 5));
     assert_eq!(registry.record_leaving(&start(1_000), Relayed), None, "it is recorded");
     // Earlier heartbeats, and those relayed by hosts that have not recorded the report.
     registry.merge(started(1_000, 6), Relayed);
