--- a/benches/placer.rs
+++ b/benches/placer.rs
@@ -45,7 +45,7 @@
         rate: RATE,
         copy_ms_per_token: Some(0.002),
         cold_per_second: None,
-        call: 1,
+        registration_seq: 1,
         warmup_ms: 0,
     }
 }
@@ -101,7 +101,7 @@
         // Four requests a second and engine.
         let now = self.seq * 250 / self.engines;
         while let Some((at, seq)) = self.open.pop_front_if(|(at, _)| *at <= now) {
-            self.placer.receive(now, Self::router(seq), ToPlacer::Begun { seq });
+            self.placer.receive(now, Self::router(seq), ToPlacer::FirstEvent { seq });
             self.begun.push_back((at + ENDS_MS, seq));
         }
         while let Some((_, seq)) = self.begun.pop_front_if(|(at, _)| *at <= now) {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -11,11 +11,11 @@
 
 mod choice;
 mod client;
+mod cold_limit;
 mod copy;
-mod distance;
 mod engine;
 mod engines;
-mod knowledge;
+mod hall_regions;
 mod local;
 mod message;
 mod parts;
@@ -23,6 +23,7 @@
 mod placer;
 mod queue;
 mod rate;
+mod records;
 mod rests;
 mod rules;
 mod server;
@@ -31,17 +32,16 @@
 mod tests;
 mod timing;
 mod unanswered;
-mod warmth;
 
 pub use client::{PlacementClient, PlacementOutcome, Reservation};
-pub use distance::Distances;
 pub use engines::EngineInfo;
-pub use knowledge::EndpointStartRef;
+pub use hall_regions::HallRegions;
 pub use local::LocalPlacer;
 pub use message::{
-    Completion, FromPlacer, KeptParts, Knowledge, OpenRequest, PlacementRequest, PromptParts,
-    Refusal, RestTold, ToPlacer,
+    Completion, FromPlacer, KeptParts, OpenRequest, PlacementRequest, PromptParts, Refusal,
+    RestReport, RouterSnapshot, ToPlacer,
 };
 pub use placer::{Decision, Placer};
+pub use records::EndpointStartRef;
 pub use rules::PlacementRules;
 pub use server::{PlacerHandle, serve};
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -4,6 +4,7 @@
 use slab::Slab;
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::cold_limit::ColdLimit;
 use super::copy::{CopySources, PartCopy};
 use super::engine::{EngineModel, reading_units};
 use super::engines::EngineInfo;
@@ -12,19 +13,18 @@
 use super::queue::{Position, Queue};
 use super::rests::RouterRests;
 use super::rules::PlacementRules;
-use super::shares::Standing;
-use super::timing::FIXED_MS;
-use super::warmth::Warmth;
+use super::shares::ShareUsage;
+use super::timing::FIRST_EVENT_OVERHEAD_MS;
 use crate::dispatch::Millis;
 use crate::eligibility::{Candidate, order_of};
 use crate::region::are_apart;
 use crate::wire::HostId;
 
 /// Service over an equal part below which being served less says no more.
-const LEAST_RELATIVE: f64 = 0.25;
+const MIN_RELATIVE_SERVICE: f64 = 0.25;
 /// Milliseconds by which requests beyond what their customer is owed are put off in the
 /// order of an engine's queue: longer than any objective.
-const BEYOND_OWED_MS: f64 = 60_000.0;
+const ABOVE_SHARE_DELAY_MS: f64 = 60_000.0;
 /// An engine as the placer plans it.
 #[derive(Clone, Debug)]
 pub struct Engine {
@@ -50,11 +50,11 @@
     /// where engines cannot.
     pub copy_ms_per_token: Option<f64>,
     /// Whether it is registered as ready.
-    pub open: bool,
+    pub is_ready: bool,
     /// Whether a router found another endpoint at its address.
-    pub is_gone: bool,
+    pub is_replaced: bool,
     /// How much it may be sent while it is cold.
-    pub warmth: Warmth,
+    pub cold_limit: ColdLimit,
     /// Which routers it asked for rest.
     pub rests: RouterRests,
 }
@@ -62,12 +62,12 @@
 impl Engine {
     /// An idle engine that is ready.
     pub fn new(now: Millis, info: EngineInfo, reading_share: f64) -> Engine {
-        let mut warmth = Warmth::default();
-        warmth.learn(now, info.cold_per_second, info.call, info.warmup_ms);
+        let mut cold_limit = ColdLimit::default();
+        cold_limit.update(now, info.cold_per_second, info.registration_seq, info.warmup_ms);
         let mut model = EngineModel::new(info.slots, info.memory_tokens, info.rate, reading_share);
         model.set_tokens_per_event(info.tokens_per_event);
         Engine {
-            warmth,
+            cold_limit,
             hash: xxh3_64(info.id.as_bytes()),
             order: order_of(&info.id),
             id: info.id,
@@ -78,8 +78,8 @@
             model,
             queue: Queue::default(),
             copy_ms_per_token: info.copy_ms_per_token,
-            open: true,
-            is_gone: false,
+            is_ready: true,
+            is_replaced: false,
             rests: RouterRests::default(),
         }
     }
@@ -91,21 +91,21 @@
 
     /// Whether it may get requests at all.
     pub fn takes_work(&self) -> bool {
-        self.open && !self.is_gone
+        self.is_ready && !self.is_replaced
     }
 
     /// Whether a router's requests should go elsewhere.
-    pub fn is_unfit(&self, now: Millis, router: HostId) -> bool {
+    pub fn should_avoid(&self, now: Millis, router: HostId) -> bool {
         !self.takes_work()
-            || self.model.is_left_out(now)
+            || self.model.is_excluded(now)
             || self.model.is_stalled(now)
-            || self.rests.is_unfit(now, router)
+            || self.rests.should_avoid(now, router)
     }
 }
 
 /// What reading a prompt costs at an engine.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
+struct ReadingCost {
     copy: Option<PartCopy>,
     copy_ms: f64,
     units: f64,
@@ -144,7 +144,7 @@
 
 /// How an engine compares with others; the least comes first. Equal ones go by
 /// [`Chooser::rank`].
-type Order = (bool, bool, f64);
+type SortKey = (bool, bool, f64);
 
 /// What choices are made from.
 pub struct Chooser<'a> {
@@ -173,23 +173,23 @@
         let sources = self.copy_sources(request);
         let fits = |(_, engine): &(EngineNumber, &Engine)| {
             self.is_candidate(engine, request)
-                && !engine.warmth.is_full(self.now, self.rules.cold_part)
+                && !engine.cold_limit.is_exhausted(self.now, self.rules.cold_part)
         };
-        let mut best: Option<(Order, EngineNumber)> = None;
+        let mut best: Option<(SortKey, EngineNumber)> = None;
         for (number, engine) in self.engines.iter().filter(fits) {
-            let reading = self.reading(number, engine, request, &sources);
+            let reading = self.reading_cost(number, engine, request, &sources);
             let score = engine.queue.wait_ms(self.now, engine.model.pace(self.now))
-                + self.away_cost(engine)
+                + self.region_cost_ms(engine)
                 + self.rules.reading_weight * reading.read_ms
                 + self.rules.copying_weight * reading.copy_ms
                 + self.rules.late_stream_cost_ms
-                    * engine.model.streams().harmed_by(reading.pause_ms) as f64;
+                    * engine.model.streams().count_exceeded(reading.pause_ms) as f64;
             let order =
-                (engine.is_unfit(self.now, self.router), !engine.model.has_room(tokens), score);
+                (engine.should_avoid(self.now, self.router), !engine.model.has_room(tokens), score);
             let is_better = best.is_none_or(|(best_order, best_number)| {
                 order < best_order
                     || order == best_order
-                        && self.rank(request, number) < self.rank(request, best_number)
+                        && self.tie_rank(request, number) < self.tie_rank(request, best_number)
             });
             if is_better {
                 best = Some((order, number));
@@ -200,41 +200,41 @@
 
     /// Milliseconds until an engine may be sent more, where all that the request could
     /// go to are cold and have been sent what they bear; none where there is no engine.
-    pub fn until_one_is_free(&self, request: &PlacementRequest) -> Option<Millis> {
+    pub fn until_cold_engine_is_free(&self, request: &PlacementRequest) -> Option<Millis> {
         let engines = self.engines.iter().map(|(_, engine)| engine);
         let candidates = engines.filter(|engine| self.is_candidate(engine, request));
-        let free = candidates.filter_map(|e| e.warmth.next_at(self.now, self.rules.cold_part));
+        let free = candidates.filter_map(|e| e.cold_limit.next_at(self.now, self.rules.cold_part));
         free.min().map(|at| at.saturating_sub(self.now))
     }
 
     /// Where equal choices go: the same for every placer, so that a new one finds
     /// kept parts where the one before left them.
-    fn rank(&self, request: &PlacementRequest, number: EngineNumber) -> u64 {
+    fn tie_rank(&self, request: &PlacementRequest, number: EngineNumber) -> u64 {
         let affinity = request.parts.first().map_or(0, |part| part.0);
         let hash = self.engines.get(number).map_or(0, |engine| engine.hash);
         xxh3_64(&(affinity ^ hash).to_be_bytes())
     }
 
     /// What a request would cost at an engine whose queue was advanced to now.
-    pub fn at(
+    pub fn evaluate(
         &self,
         number: EngineNumber,
         request: &PlacementRequest,
-        standing: Standing,
+        usage: ShareUsage,
     ) -> Option<Choice> {
         let engine = self.engines.get(number)?;
         let now = self.now as f64;
-        let Reading { copy, copy_ms, units, read_ms, pause_ms } =
-            self.reading(number, engine, request, &self.copy_sources(request));
-        let own_ms = read_ms + copy_ms + self.way_ms(engine);
-        let in_time_ms = self.in_time_ms(request, own_ms);
-        let latest_start = match standing.is_above() {
+        let ReadingCost { copy, copy_ms, units, read_ms, pause_ms } =
+            self.reading_cost(number, engine, request, &self.copy_sources(request));
+        let own_ms = read_ms + copy_ms + self.region_round_trip_ms(engine);
+        let start_within_ms = self.start_within_ms(request, own_ms);
+        let latest_start = match usage.is_above() {
             // What a customer gets beyond what it is owed delays no other.
-            true => now + in_time_ms + BEYOND_OWED_MS,
-            false => now + in_time_ms,
+            true => now + start_within_ms + ABOVE_SHARE_DELAY_MS,
+            false => now + start_within_ms,
         };
         let position = engine.queue.position(engine.model.pace(self.now), latest_start);
-        let allowed_ms = self.allowed_ms(request, in_time_ms, standing);
+        let allowed_ms = self.allowed_ms(request, start_within_ms, usage);
         Some(Choice {
             engine: number,
             copy,
@@ -247,13 +247,13 @@
         })
     }
 
-    fn reading(
+    fn reading_cost(
         &self,
         number: EngineNumber,
         engine: &Engine,
         request: &PlacementRequest,
         sources: &CopySources<'_>,
-    ) -> Reading {
+    ) -> ReadingCost {
         let kept = self.found.get(number).map_or(0, |found| found.kept);
         let copy = sources.copy_for(engine, kept);
         let copied = copy.map_or(0, |copy| copy.tokens);
@@ -261,35 +261,40 @@
         let units = reading_units(cached, request.prompt_tokens - cached);
         let copy_ms = copy.map_or(0.0, |copy| copy.ms);
         let uncached = request.prompt_tokens - cached;
-        let reader = engine.model.reader(self.long_rate, self.rules.piece_tokens);
-        let pause_ms = reader.longest_pause_ms(cached, uncached);
-        Reading { copy, copy_ms, units, read_ms: units / engine.model.rate(), pause_ms }
+        let profile = engine.model.reading_profile(self.long_rate, self.rules.piece_tokens);
+        let pause_ms = profile.longest_pause_ms(cached, uncached);
+        ReadingCost { copy, copy_ms, units, read_ms: units / engine.model.rate(), pause_ms }
     }
 
     /// Milliseconds after which a request should begin to be read. One that cannot
     /// be in time at all need not be the first.
-    fn in_time_ms(&self, request: &PlacementRequest, own_ms: f64) -> f64 {
+    fn start_within_ms(&self, request: &PlacementRequest, own_ms: f64) -> f64 {
         let objective = f64::from(request.objective_ms);
-        let left = objective - own_ms - FIXED_MS - self.rules.margin_ms;
+        let left = objective - own_ms - FIRST_EVENT_OVERHEAD_MS - self.rules.margin_ms;
         left.max(objective * self.rules.never_in_time_wait)
     }
 
     /// Milliseconds of others' prompts that a request may wait for.
-    fn allowed_ms(&self, request: &PlacementRequest, in_time_ms: f64, standing: Standing) -> f64 {
+    fn allowed_ms(
+        &self,
+        request: &PlacementRequest,
+        start_within_ms: f64,
+        usage: ShareUsage,
+    ) -> f64 {
         let rules = self.rules;
         let objective = f64::from(request.objective_ms);
-        if standing.is_above() {
-            let relative = standing.relative.max(LEAST_RELATIVE);
-            return in_time_ms.min(objective * rules.above_share / (relative * relative));
+        if usage.is_above() {
+            let relative = usage.relative.max(MIN_RELATIVE_SERVICE);
+            return start_within_ms.min(objective * rules.above_share / (relative * relative));
         }
-        match standing.fulfilment < rules.underserved {
-            true => in_time_ms.max(objective * rules.underserved_wait),
-            false => in_time_ms,
+        match usage.fulfilment < rules.underserved {
+            true => start_within_ms.max(objective * rules.underserved_wait),
+            false => start_within_ms,
         }
     }
 
     /// What an engine in another region counts dearer, in milliseconds of waiting.
-    fn away_cost(&self, engine: &Engine) -> f64 {
+    fn region_cost_ms(&self, engine: &Engine) -> f64 {
         match are_apart(self.from_region, &engine.region) {
             true => self.rules.other_region_cost_ms,
             false => 0.0,
@@ -297,7 +302,7 @@
     }
 
     /// Milliseconds on the way to an engine and back, beyond those within a region.
-    fn way_ms(&self, engine: &Engine) -> f64 {
+    fn region_round_trip_ms(&self, engine: &Engine) -> f64 {
         match are_apart(self.from_region, &engine.region) {
             true => self.rules.other_region_round_trip_ms,
             false => 0.0,
@@ -308,7 +313,7 @@
     fn is_candidate(&self, engine: &Engine, request: &PlacementRequest) -> bool {
         engine.takes_work()
             && engine.service == request.service
-            && !engine.rests.bars(self.now, self.router)
+            && !engine.rests.is_resting(self.now, self.router)
             && request.eligibility.allows(engine.candidate())
             && !request.avoid.contains(&engine.id)
     }
--- a/src/placement/client/reservation.rs
+++ b/src/placement/client/reservation.rs
@@ -13,17 +13,17 @@
     /// The id of an endpoint from which it should copy prompt parts.
     pub copy_from: Option<String>,
     pub(super) seq: u64,
-    pub(super) placements: Arc<PlacementClient>,
+    pub(super) client: Arc<PlacementClient>,
     pub(super) completion: Completion,
-    pub(super) begun: bool,
+    pub(super) first_event_reported: bool,
 }
 
 impl Reservation {
     /// The first event came.
     pub fn record_first_event(&mut self) {
-        if !std::mem::replace(&mut self.begun, true) {
-            let told = lock(&self.placements.memory).begun(self.seq);
-            self.placements.tell(&told, &ToPlacer::Begun { seq: self.seq });
+        if !std::mem::replace(&mut self.first_event_reported, true) {
+            let placers = lock(&self.client.records).record_first_event(self.seq);
+            self.client.notify(&placers, &ToPlacer::FirstEvent { seq: self.seq });
         }
     }
 
@@ -35,7 +35,8 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let told = lock(&self.placements.memory).ended(self.seq);
-        self.placements.tell(&told, &ToPlacer::Done { seq: self.seq, completion: self.completion });
+        let placers = lock(&self.client.records).record_end(self.seq);
+        self.client
+            .notify(&placers, &ToPlacer::Done { seq: self.seq, completion: self.completion });
     }
 }
--- a/src/placement/client/session.rs
+++ b/src/placement/client/session.rs
@@ -15,7 +15,7 @@
 use crate::wire::{BatchSender, BatchWriter, HostId, Open, Traffic};
 
 /// How long to wait before a lost session is opened again.
-const PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 pub(super) type Waiting = Arc<Mutex<HashMap<u64, oneshot::Sender<FromPlacer>>>>;
 
@@ -25,31 +25,31 @@
     pub out: BatchSender<ToPlacer>,
     pub waiting: Waiting,
     /// Ends it, so that another one is opened.
-    pub dead: CancellationToken,
+    pub cancel: CancellationToken,
 }
 
 /// A request that a placer was asked to place. Dropped before it is answered, it
 /// is taken back: a place that comes later would be held for nobody.
-pub(super) struct Question<'a> {
+pub(super) struct Query<'a> {
     session: &'a Session,
     seq: u64,
     pub answer: oneshot::Receiver<FromPlacer>,
     pub is_open: bool,
 }
 
-impl Question<'_> {
+impl Query<'_> {
     /// Asks; none where the session has closed.
-    pub fn ask(session: &Session, request: PlacementRequest) -> Option<Question<'_>> {
+    pub fn ask(session: &Session, request: PlacementRequest) -> Option<Query<'_>> {
         let seq = request.seq;
         let (sender, answer) = oneshot::channel();
         lock(&session.waiting).insert(seq, sender);
-        let question = Question { session, seq, answer, is_open: true };
+        let query = Query { session, seq, answer, is_open: true };
         session.out.send(ToPlacer::Place(request).into()).ok()?;
-        Some(question)
+        Some(query)
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for Query<'_> {
     fn drop(&mut self) {
         lock(&self.session.waiting).remove(&self.seq);
         if self.is_open {
@@ -61,27 +61,31 @@
 }
 
 /// Opens sessions with a placer one after the other.
-pub(super) async fn follow(all: Arc<PlacementClient>, host: HostId, address: SocketAddr) {
+pub(super) async fn maintain_session(
+    client: Arc<PlacementClient>,
+    host: HostId,
+    address: SocketAddr,
+) {
     loop {
-        if let Err(error) = run_session(&all, host, address).await {
+        if let Err(error) = run_session(&client, host, address).await {
             log::info!("placement: lost control host {host}: {error}");
         }
-        all.set_session(host, None);
-        tokio::time::sleep(PAUSE).await;
+        client.set_session(host, None);
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn run_session(all: &PlacementClient, host: HostId, address: SocketAddr) -> Result<()> {
-    let number = all.next_seq.fetch_add(1, Ordering::Relaxed);
-    let open = Open::Place { router: all.peers.me, session: number };
-    let (mut reader, writer) = all.peers.connect(address, &open).await?;
-    let (out, batch) = BatchWriter::immediate(Some(all.peers.sent.of(Traffic::Placement)));
+async fn run_session(client: &PlacementClient, host: HostId, address: SocketAddr) -> Result<()> {
+    let number = client.next_seq.fetch_add(1, Ordering::Relaxed);
+    let open = Open::Place { router: client.peers.me, session: number };
+    let (mut reader, writer) = client.peers.connect(address, &open).await?;
+    let (out, batch) = BatchWriter::immediate(Some(client.peers.sent.of(Traffic::Placement)));
     let writing = tokio::spawn(batch.run(writer, || std::future::ready(())));
     let waiting = Waiting::default();
-    let _unheard = Unheard(waiting.clone());
-    let dead = CancellationToken::new();
-    let session = Session { out, waiting: waiting.clone(), dead: dead.clone() };
-    all.set_session(host, Some(session));
+    let _clear_on_drop = ClearOnDrop(waiting.clone());
+    let cancel = CancellationToken::new();
+    let session = Session { out, waiting: waiting.clone(), cancel: cancel.clone() };
+    client.set_session(host, Some(session));
     let reading = async {
         loop {
             match reader.next::<Vec<FromPlacer>>().await {
@@ -90,18 +94,18 @@
             }
         }
     };
-    let lost = tokio::select! {
+    let error = tokio::select! {
         error = reading => error,
-        () = dead.cancelled() => Error::Silent,
+        () = cancel.cancelled() => Error::Silent,
     };
     writing.abort();
-    Err(lost)
+    Err(error)
 }
 
 /// What waits for answers of a session learns when it ends, however it ends.
-struct Unheard(Waiting);
+struct ClearOnDrop(Waiting);
 
-impl Drop for Unheard {
+impl Drop for ClearOnDrop {
     fn drop(&mut self) {
         lock(&self.0).clear();
     }
--- a/src/placement/warmth.rs
+++ b/src/placement/cold_limit.rs
@@ -23,15 +23,15 @@
 /// they send. So only the placer of the leader sends, and not before what the leader
 /// before it sent has left the window; all others send cold engines nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ColdSender {
+pub struct ColdSendPermit {
     /// The term in which the placer's host leads, and since when.
     leads: Option<(u64, Millis)>,
 }
 
-impl ColdSender {
+impl ColdSendPermit {
     /// The term in which the placer's host leads now, if it does. Between two terms of
     /// its own another one may have led.
-    pub fn set_leads(&mut self, now: Millis, term: Option<u64>) {
+    pub fn set_leading_term(&mut self, now: Millis, term: Option<u64>) {
         let before = self.leads.filter(|(led, _)| Some(*led) == term);
         self.leads = before.or(term.map(|term| (term, now)));
     }
@@ -45,31 +45,31 @@
 
 /// What one engine was sent lately, and until when it is cold.
 #[derive(Clone, Debug, Default)]
-pub struct Warmth {
+pub struct ColdLimit {
     /// Requests a second that it bears while it is cold; none where it bears as many as
     /// ever.
     per_second: Option<f64>,
     cold_until: Millis,
     /// What it said last: the number of its call, and for how many milliseconds it
     /// would be cold.
-    said: Option<(u64, u64)>,
+    last_report: Option<(u64, u64)>,
     sent: VecDeque<Millis>,
 }
 
-impl Warmth {
+impl ColdLimit {
     /// The engine bears so many requests a second while it is cold, and said with the
     /// call of this number for how many milliseconds it will be. What it said before
     /// says nothing new.
-    pub fn learn(&mut self, now: Millis, per_second: Option<f64>, call: u64, warmup_ms: u64) {
+    pub fn update(&mut self, now: Millis, per_second: Option<f64>, seq: u64, warmup_ms: u64) {
         self.per_second = per_second;
-        if self.said.replace((call, warmup_ms)) != Some((call, warmup_ms)) {
+        if self.last_report.replace((seq, warmup_ms)) != Some((seq, warmup_ms)) {
             self.cold_until = now.saturating_add(warmup_ms);
         }
     }
 
     /// Whether it must be sent nothing more now by a placer that may use `part` of what
     /// it bears.
-    pub fn is_full(&self, now: Millis, part: f64) -> bool {
+    pub fn is_exhausted(&self, now: Millis, part: f64) -> bool {
         self.next_at(now, part).is_some_and(|at| at > now)
     }
 
@@ -80,19 +80,19 @@
         if per_second <= 0.0 {
             return Some(self.cold_until);
         }
-        let most = per_second.max(1.0) as usize;
+        let max_sent = per_second.max(1.0) as usize;
         let window_ms = (WINDOW_MS / per_second.min(1.0)) as Millis;
-        let counted = self.sent.iter().rev().nth(most - 1)?;
+        let counted = self.sent.iter().rev().nth(max_sent - 1)?;
         Some((counted + window_ms).min(self.cold_until))
     }
 
     /// What was sent to the start before a moment ago may have reached this one.
-    pub fn started_after(&mut self, earlier: Warmth) {
+    pub fn inherit_sent(&mut self, earlier: ColdLimit) {
         self.sent = earlier.sent;
     }
 
     /// It was sent a request.
-    pub fn sent(&mut self, now: Millis) {
+    pub fn record_sent(&mut self, now: Millis) {
         let Some(per_second) = self.per_second else { return };
         self.sent.push_back(now);
         while self.sent.len() > per_second.max(1.0) as usize {
--- a/src/placement/copy.rs
+++ b/src/placement/copy.rs
@@ -12,7 +12,7 @@
 /// Milliseconds to begin a copy.
 const COPY_SETUP_MS: f64 = 5.0;
 /// Fewer tokens are read again rather than copied.
-const LEAST_COPY: u32 = 500;
+const MIN_COPY_TOKENS: u32 = 500;
 
 /// Prompt parts to be copied from another engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,7 +40,7 @@
     }
 
     /// Whether an engine can use what it has read: another release cannot.
-    fn suits(&self, engine: &Engine) -> bool {
+    fn is_usable_by(&self, engine: &Engine) -> bool {
         self.engine.service == engine.service && self.engine.version == engine.version
     }
 
@@ -73,12 +73,13 @@
         for (number, engine) in engines {
             let read = found.get(number).map_or(0, |found| found.read);
             let is_allowed = request.eligibility.regions.allows(&engine.region);
-            if read == 0 || !is_allowed || !is_able(engine, now) {
+            if read == 0 || !is_allowed || !can_copy(engine, now) {
                 continue;
             }
             let source = Source { number, engine, read };
-            let is_alike =
-                |known: &&mut Source<'_>| known.suits(engine) && known.is_in_region_of(engine);
+            let is_alike = |known: &&mut Source<'_>| {
+                known.is_usable_by(engine) && known.is_in_region_of(engine)
+            };
             match sources.iter_mut().find(is_alike) {
                 Some(known) if source.order() > known.order() => *known = source,
                 Some(_) => {}
@@ -91,16 +92,16 @@
 
     /// What an engine that keeps `kept` tokens should copy, if that is worth it.
     pub fn copy_for(&self, engine: &Engine, kept: u32) -> Option<PartCopy> {
-        let suits = |source: &&Source<'_>| {
-            source.suits(engine) && (self.between_regions || source.is_in_region_of(engine))
+        let is_usable = |source: &&Source<'_>| {
+            source.is_usable_by(engine) && (self.between_regions || source.is_in_region_of(engine))
         };
-        let source = self.sources.iter().find(suits)?;
+        let source = self.sources.iter().find(is_usable)?;
         let tokens = source.read.checked_sub(kept)?;
         let ms = COPY_SETUP_MS + f64::from(tokens) * engine.copy_ms_per_token?;
-        (tokens >= LEAST_COPY).then_some(PartCopy { from: source.number, tokens, ms })
+        (tokens >= MIN_COPY_TOKENS).then_some(PartCopy { from: source.number, tokens, ms })
     }
 }
 
-fn is_able(engine: &Engine, now: Millis) -> bool {
-    engine.takes_work() && engine.copy_ms_per_token.is_some() && !engine.model.is_left_out(now)
+fn can_copy(engine: &Engine, now: Millis) -> bool {
+    engine.takes_work() && engine.copy_ms_per_token.is_some() && !engine.model.is_excluded(now)
 }
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -3,10 +3,10 @@
 use std::collections::{HashMap, VecDeque};
 
 use super::message::PromptParts;
-use super::pauses::{Reader, Streams};
+use super::pauses::{ReadingProfile, Streams};
 use super::queue::Pace;
 use super::rate::ReadingRate;
-use super::timing::{FIXED_MS, Timing};
+use super::timing::{FIRST_EVENT_OVERHEAD_MS, Timing};
 use crate::dispatch::Millis;
 use crate::wire::HostId;
 
@@ -16,27 +16,27 @@
 /// Context at which attention makes reading a token twice as dear, in tokens.
 const ATTENTION_TOKENS: f64 = 60_000.0;
 /// Weight of what was learnt before, at each new observation.
-const MEMORY: f64 = 0.97;
+const RATE_DECAY: f64 = 0.97;
 /// Weight of the newest observation in the lateness of an engine: five prompts are
 /// remembered. Chosen, not measured.
-const LATENESS_PART: f64 = 0.2;
+const LATENESS_WEIGHT: f64 = 0.2;
 /// Milliseconds in which the lateness of an engine halves by itself: within an
 /// objective it is tried again. Chosen; without it an engine once late stayed unused.
 const LATENESS_HALF_LIFE_MS: f64 = 200.0;
 /// Less lateness than this counts as none, in milliseconds.
-const LEAST_LATENESS_MS: f64 = 0.01;
+const MIN_LATENESS_MS: f64 = 0.01;
 /// How far learning may move the reading rate from its start.
 const RATE_RANGE: (f64, f64) = (0.4, 4.0);
 /// Part of the engine's memory that kept parts and running requests may fill.
 const USABLE_MEMORY: f64 = 0.92;
 /// Shortest and longest time for which a failing engine is left out.
-const LEFT_OUT_MS: (Millis, Millis) = (400, 5_000);
+const EXCLUSION_MS: (Millis, Millis) = (400, 5_000);
 /// Milliseconds within which requests may arrive in another order than they were
 /// sent in: the way through a router behind its work, or a copy of prompt parts.
 /// Routers refuse from 40 ms of lag on; three times that and a copy.
-const OVERTAKEN_MS: Millis = 150;
+const MAX_REORDERING_MS: Millis = 150;
 /// Failures in a row after which an engine is left out.
-const TOLERATED: u32 = 2;
+const FAILURES_TO_EXCLUDE: u32 = 2;
 
 #[derive(Clone, Debug)]
 struct Pending {
@@ -59,7 +59,7 @@
 
 /// What the first event of a request says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Begun {
+pub struct FirstEvent {
     /// The prompt parts that were read.
     pub parts: PromptParts,
     /// How long that took, where it is known.
@@ -77,7 +77,7 @@
     running_tokens: u64,
     tokens_per_event: u32,
     streams: Streams,
-    learnt: ReadingRate,
+    reading_rate: ReadingRate,
     reading_share: f64,
     /// When all that was sent should have been read, on the clock.
     read_until: f64,
@@ -87,7 +87,7 @@
     timing: Timing,
     rate: f64,
     failures: u32,
-    left_out_until: Millis,
+    excluded_until: Millis,
 }
 
 /// The cost of reading `uncached` tokens behind `cached` ones, in tokens of an
@@ -110,7 +110,7 @@
             running_tokens: 0,
             tokens_per_event: 1,
             streams: Streams::default(),
-            learnt: ReadingRate::new(rate, MEMORY),
+            reading_rate: ReadingRate::new(rate, RATE_DECAY),
             reading_share,
             read_until: 0.0,
             lateness_ms: 0.0,
@@ -118,7 +118,7 @@
             timing: Timing::default(),
             rate,
             failures: 0,
-            left_out_until: 0,
+            excluded_until: 0,
         }
     }
 
@@ -128,8 +128,8 @@
     }
 
     /// How it reads long prompts, so many units a millisecond in pieces of so many tokens.
-    pub fn reader(&self, rate: f64, piece_tokens: u32) -> Reader {
-        Reader { rate, tokens_per_event: self.tokens_per_event, piece_tokens }
+    pub fn reading_profile(&self, rate: f64, piece_tokens: u32) -> ReadingProfile {
+        ReadingProfile { rate, tokens_per_event: self.tokens_per_event, piece_tokens }
     }
 
     /// Its streams whose pauses have been as promised.
@@ -139,9 +139,9 @@
 
     /// A stream is placed here that was promised such pauses, beside a prompt that makes
     /// one of `stretched_ms`.
-    pub fn promise(&mut self, key: RequestKey, promised_ms: u32, stretched_ms: f64) {
-        self.streams.stretch(stretched_ms);
-        self.streams.begin(key, promised_ms);
+    pub fn add_stream(&mut self, key: RequestKey, promised_ms: u32, pause_ms: f64) {
+        self.streams.record_pause(pause_ms);
+        self.streams.add(key, promised_ms);
     }
 
     /// The part of its time that may go into reading from now on.
@@ -151,8 +151,8 @@
 
     /// A better guess of the tokens read in a millisecond, from what other engines of
     /// its service read.
-    pub fn set_guess(&mut self, rate: f64) {
-        self.learnt.set_guess(rate);
+    pub fn set_initial_rate(&mut self, rate: f64) {
+        self.reading_rate.set_initial(rate);
         self.refresh();
     }
 
@@ -164,8 +164,8 @@
     /// Works out what follows from the prompts to be read and from what was learnt.
     fn refresh(&mut self) {
         let (low, high) = RATE_RANGE;
-        let guess = self.learnt.guess();
-        self.rate = self.learnt.get().clamp(guess * low, guess * high);
+        let initial = self.reading_rate.initial();
+        self.rate = self.reading_rate.get().clamp(initial * low, initial * high);
         let units = self.pending.iter().map(|p| p.units);
         self.timing = Timing::new(self.head_since, self.rate, units);
     }
@@ -193,8 +193,8 @@
     }
 
     /// Whether it is left out after failures.
-    pub fn is_left_out(&self, now: Millis) -> bool {
-        now < self.left_out_until
+    pub fn is_excluded(&self, now: Millis) -> bool {
+        now < self.excluded_until
     }
 
     /// Whether the prompt that it reads takes so long that something is wrong.
@@ -208,7 +208,7 @@
     }
 
     /// A request of `units` is sent here.
-    pub fn send(
+    pub fn record_sent(
         &mut self,
         now: Millis,
         key: RequestKey,
@@ -223,11 +223,11 @@
         let read_by = self.read_until;
         self.pending.push_back(Pending { key, parts: parts.to_vec(), units, since: now, read_by });
         self.refresh();
-        self.adopt_running(key, tokens);
+        self.add_running(key, tokens);
     }
 
     /// A request runs here whose prompt has been read.
-    pub fn adopt_running(&mut self, key: RequestKey, tokens: u64) {
+    pub fn add_running(&mut self, key: RequestKey, tokens: u64) {
         self.running.insert(key, tokens);
         self.running_tokens += tokens;
     }
@@ -238,51 +238,53 @@
     }
 
     /// The first event of a request came.
-    pub fn begun(&mut self, now: Millis, key: RequestKey) -> Option<Begun> {
+    pub fn record_first_event(&mut self, now: Millis, key: RequestKey) -> Option<FirstEvent> {
         let at = self.pending.iter().position(|p| p.key == key)?;
-        let begun = self.pending.remove(at)?;
+        let started = self.pending.remove(at)?;
         self.failures = 0;
-        self.left_out_until = 0;
+        self.excluded_until = 0;
         // Its prompt had been read some time before its first event.
-        let read_at = now as f64 - FIXED_MS;
-        self.note_lateness(now, read_at - begun.read_by);
-        let overtaken = self.drop_overtaken(&begun, at);
-        let observed = (at == 0)
-            .then(|| Observation { units: begun.units, ms: (read_at - self.head_since).max(1.0) });
+        let read_at = now as f64 - FIRST_EVENT_OVERHEAD_MS;
+        self.record_lateness(now, read_at - started.read_by);
+        let overtaken = self.drop_overtaken(&started, at);
+        let observed = (at == 0).then(|| Observation {
+            units: started.units,
+            ms: (read_at - self.head_since).max(1.0),
+        });
         if let Some(Observation { units, ms }) = observed {
-            self.learnt.observe(units, ms);
+            self.reading_rate.observe(units, ms);
         }
         if at == 0 || overtaken {
             self.start_head(read_at);
         }
         self.refresh();
-        Some(Begun { parts: begun.parts, observed })
+        Some(FirstEvent { parts: started.parts, observed })
     }
 
     /// Engines read in the order of arrival: what was sent well before a request
     /// that has begun has been read too, or never came. Its router may be cut off
     /// and cannot say so.
-    fn drop_overtaken(&mut self, begun: &Pending, at: usize) -> bool {
+    fn drop_overtaken(&mut self, started: &Pending, at: usize) -> bool {
         let before = self.pending.len();
         let mut index = 0;
         self.pending.retain(|pending| {
             index += 1;
-            index > at || pending.since + OVERTAKEN_MS > begun.since
+            index > at || pending.since + MAX_REORDERING_MS > started.since
         });
         self.pending.len() < before
     }
 
     /// The engine has more to do than was sent from here, or is slower than thought.
-    fn note_lateness(&mut self, now: Millis, late_ms: f64) {
+    fn record_lateness(&mut self, now: Millis, late_ms: f64) {
         let before = self.lateness_ms(now);
-        self.lateness_ms = before + (late_ms.max(0.0) - before) * LATENESS_PART;
+        self.lateness_ms = before + (late_ms.max(0.0) - before) * LATENESS_WEIGHT;
         self.lateness_at = now;
     }
 
     /// Milliseconds by which prompts are read later than planned. It fades: an
     /// engine that gets nothing for it could not show that it is over.
     fn lateness_ms(&self, now: Millis) -> f64 {
-        if self.lateness_ms < LEAST_LATENESS_MS {
+        if self.lateness_ms < MIN_LATENESS_MS {
             return 0.0;
         }
         let passed = now.saturating_sub(self.lateness_at) as f64;
@@ -297,10 +299,10 @@
     }
 
     /// A request has ended, however.
-    pub fn ended(&mut self, now: Millis, key: RequestKey) {
+    pub fn remove_request(&mut self, now: Millis, key: RequestKey) {
         if let Some(tokens) = self.running.remove(&key) {
             self.running_tokens -= tokens;
-            self.streams.end(key);
+            self.streams.remove(key);
         }
         if let Some(at) = self.pending.iter().position(|p| p.key == key) {
             self.pending.remove(at);
@@ -312,20 +314,20 @@
     }
 
     /// A request failed here.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         self.failures += 1;
-        if self.failures >= TOLERATED {
-            let (least, most) = LEFT_OUT_MS;
-            let doubled = least << (self.failures - TOLERATED).min(6);
-            self.left_out_until = now + doubled.min(most);
+        if self.failures >= FAILURES_TO_EXCLUDE {
+            let (min, max) = EXCLUSION_MS;
+            let doubled = min << (self.failures - FAILURES_TO_EXCLUDE).min(6);
+            self.excluded_until = now + doubled.min(max);
         }
     }
 
     /// All requests of a router are over.
-    pub fn drop_router(&mut self, now: Millis, router: HostId) {
+    pub fn remove_router(&mut self, now: Millis, router: HostId) {
         let keys: Vec<_> = self.running.keys().filter(|k| k.0 == router).copied().collect();
         for key in keys {
-            self.ended(now, key);
+            self.remove_request(now, key);
         }
     }
 }
--- a/src/placement/engines.rs
+++ b/src/placement/engines.rs
@@ -38,7 +38,7 @@
     /// as ever.
     pub cold_per_second: Option<f64>,
     /// Number of its call that said what follows.
-    pub call: u64,
+    pub registration_seq: u64,
     /// Milliseconds for which it is still cold.
     pub warmup_ms: u64,
 }
@@ -74,7 +74,7 @@
         rate,
         copy_ms_per_token: engine.copy_ms_per_token,
         cold_per_second: service.cold_per_second,
-        call: endpoint.sequence,
+        registration_seq: endpoint.sequence,
         warmup_ms: endpoint.warmup_ms,
     };
     ready.into_iter().map(info).collect()
--- a/src/placement/distance.rs
+++ b/src/placement/hall_regions.rs
@@ -8,14 +8,14 @@
 
 /// What lies between data halls.
 #[derive(Clone, Debug, Default)]
-pub struct Distances {
+pub struct HallRegions {
     regions: Regions,
 }
 
-impl Distances {
+impl HallRegions {
     /// Distances between the data halls of these regions.
-    pub fn new(regions: Regions) -> Distances {
-        Distances { regions }
+    pub fn new(regions: Regions) -> HallRegions {
+        HallRegions { regions }
     }
 
     /// The region of the router that asks; empty where it is not known.
--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -5,8 +5,8 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use super::distance::Distances;
 use super::engines::engines_of;
+use super::hall_regions::HallRegions;
 use super::message::{FromPlacer, PlacementRequest, ToPlacer};
 use super::placer::Placer;
 use super::rules::PlacementRules;
@@ -17,7 +17,7 @@
 use crate::wire::HostId;
 
 /// How much more than an equal part of the engines a router takes alone.
-const GENEROSITY: f64 = 1.5;
+const LOCAL_SHARE_FACTOR: f64 = 1.5;
 
 /// A placer for one router.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
         regions: Regions,
     ) -> LocalPlacer {
         let mut placer = Placer::default();
-        placer.set_distances(Distances::new(regions.clone()));
+        placer.set_hall_regions(HallRegions::new(regions.clone()));
         LocalPlacer { me, clock, documents, registry, regions, placer: Mutex::new(placer) }
     }
 
@@ -49,11 +49,14 @@
         let seq = request.seq;
         let Some(routing) = self.documents.current() else { return FromPlacer::Unknown { seq } };
         let engines = self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
-        let all = PlacementRules::default();
-        let part = (GENEROSITY / routers.max(1) as f64).min(1.0);
+        let defaults = PlacementRules::default();
+        let part = (LOCAL_SHARE_FACTOR / routers.max(1) as f64).min(1.0);
         // No router knows what others send to a cold engine, so none sends it anything.
-        let rules =
-            PlacementRules { reading_share: all.reading_share * part, cold_part: 0.0, ..all };
+        let rules = PlacementRules {
+            reading_share: defaults.reading_share * part,
+            cold_part: 0.0,
+            ..defaults
+        };
         let mut placer = self.placer.lock().unwrap_or_else(PoisonError::into_inner);
         placer.set_rules(rules);
         let now = self.clock.now();
@@ -64,7 +67,7 @@
     }
 
     /// Tells of a placed request.
-    pub fn tell(&self, message: ToPlacer) {
+    pub fn receive(&self, message: ToPlacer) {
         let mut placer = self.placer.lock().unwrap_or_else(PoisonError::into_inner);
         placer.receive(self.clock.now(), self.me, message);
     }
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -69,7 +69,7 @@
     /// Longest pause between events that is in time, in milliseconds; 0 for none.
     pub pause_objective_ms: u32,
     /// Whether its first event has come.
-    pub begun: bool,
+    pub first_event_seen: bool,
 }
 
 /// Leading prompt parts that an endpoint has read.
@@ -85,7 +85,7 @@
 
 /// A rest that an engine asked a router for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RestTold {
+pub struct RestReport {
     /// The endpoint.
     pub endpoint: String,
     /// The start of the endpoint that asked; a later one asked nothing.
@@ -96,26 +96,26 @@
 
 /// What a router knows from placements that others decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct RouterSnapshot {
     /// Its requests that have not ended.
     pub open: Vec<OpenRequest>,
     /// What endpoints read, used last at the end.
     pub kept: Vec<KeptParts>,
     /// Engines that it lets rest.
-    pub rests: Vec<RestTold>,
+    pub rests: Vec<RestReport>,
 }
 
 /// What a router tells a placer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToPlacer {
     /// What earlier placements left, before the first request.
-    Known(Knowledge),
+    Snapshot(RouterSnapshot),
     /// An engine asked the router for rest.
-    Rest(RestTold),
+    Rest(RestReport),
     /// A request wants an engine.
     Place(PlacementRequest),
     /// The first event of a placed request came.
-    Begun {
+    FirstEvent {
         /// The request's number.
         seq: u64,
     },
--- a/src/placement/parts.rs
+++ b/src/placement/parts.rs
@@ -46,8 +46,8 @@
                 holders.insert(at, Holder { engine, read: false });
             }
         }
-        while let Some(part) = cache.give_way(capacity) {
-            drop_holder(&mut self.holders, engine, part);
+        while let Some(part) = cache.evict_oldest(capacity) {
+            remove_holder(&mut self.holders, engine, part);
         }
     }
 
@@ -62,10 +62,10 @@
     }
 
     /// An engine is gone.
-    pub fn forget(&mut self, engine: EngineNumber) {
+    pub fn remove_engine(&mut self, engine: EngineNumber) {
         let Some(cache) = self.caches.get_mut(engine) else { return };
-        while let Some(part) = cache.give_way(0) {
-            drop_holder(&mut self.holders, engine, part);
+        while let Some(part) = cache.evict_oldest(0) {
+            remove_holder(&mut self.holders, engine, part);
         }
     }
 
@@ -94,7 +94,7 @@
     }
 }
 
-fn drop_holder(holders: &mut HashMap<u64, Vec<Holder>>, engine: EngineNumber, part: u64) {
+fn remove_holder(holders: &mut HashMap<u64, Vec<Holder>>, engine: EngineNumber, part: u64) {
     let Some(of_part) = holders.get_mut(&part) else { return };
     if let Ok(at) = of_part.binary_search_by_key(&engine, |holder| holder.engine) {
         of_part.remove(at);
@@ -146,7 +146,7 @@
     }
 
     /// Drops the part unused for longest while there are more than `capacity` tokens.
-    fn give_way(&mut self, capacity: u64) -> Option<u64> {
+    fn evict_oldest(&mut self, capacity: u64) -> Option<u64> {
         if self.tokens <= capacity {
             return None;
         }
--- a/src/placement/pauses.rs
+++ b/src/placement/pauses.rs
@@ -22,11 +22,11 @@
 pub const LONG_READING_UNITS: f64 = 8_192.0;
 /// Part of a promised pause from which a prompt counts as stretching it: what is not
 /// modelled, such as prompts read back to back and the way to the caller, takes the rest.
-const PROMISED_PART: f64 = 0.75;
+const PROMISE_FRACTION: f64 = 0.75;
 
 /// How an engine reads.
 #[derive(Clone, Copy, Debug)]
-pub struct Reader {
+pub struct ReadingProfile {
     /// Tokens of an empty context read in a millisecond.
     pub rate: f64,
     /// Tokens in one event of a stream, one for each step.
@@ -35,7 +35,7 @@
     pub piece_tokens: u32,
 }
 
-impl Reader {
+impl ReadingProfile {
     /// Milliseconds of the longest pause that reading `uncached` tokens behind `cached`
     /// ones makes: that of the last pieces, which are the dearest.
     pub fn longest_pause_ms(&self, cached: u32, uncached: u32) -> f64 {
@@ -46,8 +46,8 @@
 }
 
 /// Whether a pause of that length breaks a promise.
-pub fn is_stretched(pause_ms: f64, promised_ms: u32) -> bool {
-    promised_ms > 0 && pause_ms > f64::from(promised_ms) * PROMISED_PART
+pub fn exceeds_promise(pause_ms: f64, promised_ms: u32) -> bool {
+    promised_ms > 0 && pause_ms > f64::from(promised_ms) * PROMISE_FRACTION
 }
 
 /// The streams of an engine whose pauses have been as promised.
@@ -58,26 +58,26 @@
 
 impl Streams {
     /// A stream that was promised pauses of at most so many milliseconds; 0 for none.
-    pub fn begin(&mut self, key: RequestKey, promised_ms: u32) {
+    pub fn add(&mut self, key: RequestKey, promised_ms: u32) {
         if promised_ms > 0 {
             self.in_time.push((key, promised_ms));
         }
     }
 
     /// A stream has ended.
-    pub fn end(&mut self, key: RequestKey) {
+    pub fn remove(&mut self, key: RequestKey) {
         if let Some(at) = self.in_time.iter().position(|(other, _)| *other == key) {
             self.in_time.swap_remove(at);
         }
     }
 
     /// How many a pause would make late.
-    pub fn harmed_by(&self, pause_ms: f64) -> usize {
-        self.in_time.iter().filter(|(_, promised)| is_stretched(pause_ms, *promised)).count()
+    pub fn count_exceeded(&self, pause_ms: f64) -> usize {
+        self.in_time.iter().filter(|(_, promised)| exceeds_promise(pause_ms, *promised)).count()
     }
 
     /// A pause comes: who is late by it has no more to lose.
-    pub fn stretch(&mut self, pause_ms: f64) {
-        self.in_time.retain(|(_, promised)| !is_stretched(pause_ms, *promised));
+    pub fn record_pause(&mut self, pause_ms: f64) {
+        self.in_time.retain(|(_, promised)| !exceeds_promise(pause_ms, *promised));
     }
 }
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -92,7 +92,7 @@
             before -= planned.units;
             index -= 1;
         }
-        Position { index, wait_ms: self.wait_for(before, pace) }
+        Position { index, wait_ms: self.wait_before(before, pace) }
     }
 
     /// Adds a prompt at a position that was found just before.
@@ -103,7 +103,7 @@
 
     /// Milliseconds until the first `units` have been read: no sooner than the
     /// engine's pace and its speed allow.
-    fn wait_for(&self, units: f64, pace: Pace) -> f64 {
+    fn wait_before(&self, units: f64, pace: Pace) -> f64 {
         let paced = (units - self.read).max(0.0) * pace.ms_per_unit;
         paced.max(pace.backlog_ms) + pace.lateness_ms
     }
--- a/src/placement/knowledge.rs
+++ b/src/placement/records.rs
@@ -7,18 +7,18 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::message::{KeptParts, Knowledge, OpenRequest, PlacementRequest, RestTold};
+use super::message::{KeptParts, OpenRequest, PlacementRequest, RestReport, RouterSnapshot};
 use crate::dispatch::Millis;
 use crate::wire::HostId;
 
 /// Prompt parts that are remembered, those used last.
-const MOST_KEPT: usize = 256;
+const MAX_KEPT_PREFIXES: usize = 256;
 /// Engines of which it is remembered that they want rest: more than a fleet has.
-const MOST_RESTS: usize = 2_048;
+const MAX_RESTS: usize = 2_048;
 
 /// Who was told of an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum PlacerId {
     /// The placer of a control host.
     Host(HostId),
     /// This router's own placer.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 struct Open {
     request: OpenRequest,
-    told: Vec<Told>,
+    placers: Vec<PlacerId>,
 }
 
 /// One start of an endpoint.
@@ -42,7 +42,7 @@
 
 /// Open requests and kept prompt parts.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
+pub struct PlacementRecords {
     open: BTreeMap<u64, Open>,
     kept: BTreeMap<u64, KeptParts>,
     last_use: HashMap<(u64, String), u64>,
@@ -57,9 +57,14 @@
     until: Millis,
 }
 
-impl Memory {
+impl PlacementRecords {
     /// A request was placed at an endpoint.
-    pub fn placed(&mut self, request: &PlacementRequest, at: EndpointStartRef<'_>, by: Told) {
+    pub fn record_placement(
+        &mut self,
+        request: &PlacementRequest,
+        at: EndpointStartRef<'_>,
+        by: PlacerId,
+    ) {
         let open = OpenRequest {
             seq: request.seq,
             endpoint: at.endpoint.to_string(),
@@ -68,30 +73,30 @@
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
             pause_objective_ms: request.pause_objective_ms,
-            begun: false,
+            first_event_seen: false,
         };
-        self.open.insert(request.seq, Open { request: open, told: vec![by] });
+        self.open.insert(request.seq, Open { request: open, placers: vec![by] });
     }
 
     /// The first event of a request came; returns who is to be told.
-    pub fn begun(&mut self, seq: u64) -> Vec<Told> {
+    pub fn record_first_event(&mut self, seq: u64) -> Vec<PlacerId> {
         let Some(open) = self.open.get_mut(&seq) else { return Vec::new() };
-        open.request.begun = true;
-        let told = open.told.clone();
+        open.request.first_event_seen = true;
+        let placers = open.placers.clone();
         let (endpoint, started_at_ms) = (open.request.endpoint.clone(), open.request.started_at_ms);
         // The last part is the request's own; few ask for it again.
         let shared = open.request.parts.len().saturating_sub(1);
         let parts = open.request.parts[..shared].to_vec();
-        self.keep(KeptParts { endpoint, started_at_ms, parts });
-        told
+        self.record_kept(KeptParts { endpoint, started_at_ms, parts });
+        placers
     }
 
     /// A request has ended; returns who is to be told.
-    pub fn ended(&mut self, seq: u64) -> Vec<Told> {
-        self.open.remove(&seq).map(|open| open.told).unwrap_or_default()
+    pub fn record_end(&mut self, seq: u64) -> Vec<PlacerId> {
+        self.open.remove(&seq).map(|open| open.placers).unwrap_or_default()
     }
 
-    fn keep(&mut self, read: KeptParts) {
+    fn record_kept(&mut self, read: KeptParts) {
         let Some((last, _)) = read.parts.last() else { return };
         let key = (*last, read.endpoint.clone());
         self.uses += 1;
@@ -99,7 +104,7 @@
             self.kept.remove(&before);
         }
         self.kept.insert(self.uses, read);
-        if self.kept.len() > MOST_KEPT
+        if self.kept.len() > MAX_KEPT_PREFIXES
             && let Some((_, oldest)) = self.kept.pop_first()
             && let Some((last, _)) = oldest.parts.last()
         {
@@ -108,35 +113,35 @@
     }
 
     /// An engine asked for so many milliseconds of rest.
-    pub fn rested(&mut self, now: Millis, at: EndpointStartRef<'_>, time: Millis) {
+    pub fn record_rest(&mut self, now: Millis, at: EndpointStartRef<'_>, time: Millis) {
         self.rests.retain(|_, rest| rest.until > now);
-        if self.rests.len() < MOST_RESTS {
+        if self.rests.len() < MAX_RESTS {
             let until = now.saturating_add(time);
             let EndpointStartRef { endpoint, started_at_ms } = at;
             self.rests.insert(endpoint.to_string(), Resting { started_at_ms, until });
         }
     }
 
-    fn rests(&self, now: Millis) -> Vec<RestTold> {
-        let told = |(endpoint, rest): (&String, &Resting)| {
+    fn active_rests(&self, now: Millis) -> Vec<RestReport> {
+        let report = |(endpoint, rest): (&String, &Resting)| {
             let time_ms = rest.until.checked_sub(now).filter(|left| *left > 0)? as u32;
             let (endpoint, started_at_ms) = (endpoint.clone(), rest.started_at_ms);
-            Some(RestTold { endpoint, started_at_ms, time_ms })
+            Some(RestReport { endpoint, started_at_ms, time_ms })
         };
-        self.rests.iter().filter_map(told).collect()
+        self.rests.iter().filter_map(report).collect()
     }
 
     /// All that `placer` does not know yet; from now on it is told.
-    pub fn tell(&mut self, now: Millis, placer: HostId) -> Knowledge {
-        let told = Told::Host(placer);
+    pub fn snapshot_for(&mut self, now: Millis, placer: HostId) -> RouterSnapshot {
+        let id = PlacerId::Host(placer);
         let mut open = Vec::new();
         for entry in self.open.values_mut() {
-            if !entry.told.contains(&told) {
-                entry.told.push(told);
+            if !entry.placers.contains(&id) {
+                entry.placers.push(id);
             }
             open.push(entry.request.clone());
         }
         let kept = self.kept.values().cloned().collect();
-        Knowledge { open, kept, rests: self.rests(now) }
+        RouterSnapshot { open, kept, rests: self.active_rests(now) }
     }
 }
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -8,12 +8,12 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::distance::Distances;
+use super::cold_limit::ColdSendPermit;
 use super::engines::engines_of;
+use super::hall_regions::HallRegions;
 use super::message::{FromPlacer, ToPlacer};
 use super::placer::Placer;
 use super::rules::PlacementRules;
-use super::warmth::ColdSender;
 use crate::clock::Clock;
 use crate::dispatch::Millis;
 use crate::peer::PeerReader;
@@ -23,12 +23,12 @@
 use crate::wire::{BatchSender, BatchWriter, HostId, SentBytes};
 
 /// How often the engines are looked up even where no change was told.
-const LEARN_AGAIN: Duration = Duration::from_secs(1);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 /// The shortest time between two looks: a look goes through all engines, of which
 /// thousands may register within a second.
-const LEARN_INTERVAL: Duration = Duration::from_millis(20);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
 /// Messages that may wait for the placer.
-const INBOX: usize = 4_096;
+const INBOX_CAPACITY: usize = 4_096;
 enum Event {
     Opened { router: HostId, session: u64, out: BatchSender<FromPlacer> },
     Messages { router: HostId, session: u64, messages: Vec<ToPlacer> },
@@ -47,23 +47,23 @@
 pub fn serve(
     rules: PlacementRules,
     clock: Clock,
-    leads: impl Fn() -> Option<u64> + Send + 'static,
+    leading_term: impl Fn() -> Option<u64> + Send + 'static,
     documents: Arc<Documents>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     sent: SentBytes,
 ) -> PlacerHandle {
-    let (events, inbox) = mpsc::channel(INBOX);
+    let (events, inbox) = mpsc::channel(INBOX_CAPACITY);
     let mut placer = Placer::new(rules);
-    placer.set_distances(Distances::new(regions.clone()));
+    placer.set_hall_regions(HallRegions::new(regions.clone()));
     let task = Task {
         clock,
         documents,
         registry,
         regions,
         placer,
-        leads: Box::new(leads),
-        cold_sender: ColdSender::default(),
+        leading_term: Box::new(leading_term),
+        cold_send_permit: ColdSendPermit::default(),
         cold_part: rules.cold_part,
         sessions: HashMap::new(),
     };
@@ -102,8 +102,8 @@
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Placer,
-    leads: Box<dyn Fn() -> Option<u64> + Send>,
-    cold_sender: ColdSender,
+    leading_term: Box<dyn Fn() -> Option<u64> + Send>,
+    cold_send_permit: ColdSendPermit,
     /// Part of what cold engines bear that the leader's placer may send them.
     cold_part: f64,
     sessions: HashMap<HostId, (u64, BatchSender<FromPlacer>)>,
@@ -113,41 +113,41 @@
     async fn run(mut self, mut inbox: mpsc::Receiver<Event>) {
         let mut routing = self.documents.watch();
         let mut changes = self.registry.watch();
-        let mut learnt_at = Instant::now();
-        let mut learn_at = learnt_at;
+        let mut refreshed_at = Instant::now();
+        let mut refresh_at = refreshed_at;
         // Whether a change is about to be learnt.
-        let mut soon = false;
+        let mut is_refresh_scheduled = false;
         loop {
             tokio::select! {
                 event = inbox.recv() => match event {
-                    Some(event) => self.event(event),
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
-                Ok(()) = changes.changed(), if !soon => {
-                    soon = true;
-                    learn_at = learn_at.min(learnt_at + LEARN_INTERVAL);
+                Ok(()) = changes.changed(), if !is_refresh_scheduled => {
+                    is_refresh_scheduled = true;
+                    refresh_at = refresh_at.min(refreshed_at + MIN_REFRESH_INTERVAL);
                 }
-                Ok(()) = routing.changed() => learn_at = Instant::now(),
-                () = tokio::time::sleep_until(learn_at) => {
+                Ok(()) = routing.changed() => refresh_at = Instant::now(),
+                () = tokio::time::sleep_until(refresh_at) => {
                     changes.mark_unchanged();
-                    self.learn_engines();
-                    learnt_at = Instant::now();
+                    self.refresh_engines();
+                    refreshed_at = Instant::now();
                     // What is only remembered is forgotten without a change.
-                    learn_at = learnt_at + LEARN_AGAIN;
-                    soon = false;
+                    refresh_at = refreshed_at + REFRESH_INTERVAL;
+                    is_refresh_scheduled = false;
                 }
             }
         }
     }
 
     /// Whether it is this placer's turn to send to cold engines.
-    fn take_turn(&mut self, now: Millis) {
-        self.cold_sender.set_leads(now, (self.leads)());
-        self.placer.set_cold_part(self.cold_part * self.cold_sender.part(now));
+    fn update_cold_part(&mut self, now: Millis) {
+        self.cold_send_permit.set_leading_term(now, (self.leading_term)());
+        self.placer.set_cold_part(self.cold_part * self.cold_send_permit.part(now));
     }
 
-    fn learn_engines(&mut self) {
-        self.take_turn(self.clock.now());
+    fn refresh_engines(&mut self) {
+        self.update_cold_part(self.clock.now());
         if let Some(routing) = self.documents.current() {
             let engines =
                 self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
@@ -156,12 +156,12 @@
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
             Event::Opened { router, session, out } => {
                 log::info!("placement: router {router} attached");
-                self.placer.lost(now, router);
+                self.placer.remove_router(now, router);
                 self.sessions.insert(router, (session, out));
             }
             Event::Messages { router, session, messages } => {
@@ -176,7 +176,7 @@
                 if self.sessions.get(&router).is_some_and(|(current, _)| *current == session) {
                     log::info!("placement: router {router} left");
                     self.sessions.remove(&router);
-                    self.placer.lost(now, router);
+                    self.placer.remove_router(now, router);
                 }
             }
         }
@@ -184,7 +184,7 @@
 
     fn receive(&mut self, router: HostId, message: ToPlacer) {
         let now = self.clock.now();
-        self.take_turn(now);
+        self.update_cold_part(now);
         let Some(decision) = self.placer.receive(now, router, message) else {
             return;
         };
--- a/src/placement/shares.rs
+++ b/src/placement/shares.rs
@@ -12,7 +12,7 @@
 
 /// What a customer got so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+pub struct ShareUsage {
     /// Service received over its share: over what an equal division of all that was
     /// served gives to those who ask for more. Above 1, it has had its share.
     pub ratio: f64,
@@ -24,14 +24,14 @@
     pub relative: f64,
 }
 
-impl Default for Standing {
+impl Default for ShareUsage {
     /// Of a customer that has asked for nothing.
-    fn default() -> Standing {
-        Standing { ratio: 0.0, fulfilment: 1.0, relative: 0.0 }
+    fn default() -> ShareUsage {
+        ShareUsage { ratio: 0.0, fulfilment: 1.0, relative: 0.0 }
     }
 }
 
-impl Standing {
+impl ShareUsage {
     /// Whether it has had what it is owed.
     pub fn is_above(&self) -> bool {
         self.ratio > SHARE_TOLERANCE
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Account {
-    asked: u64,
+    requested: u64,
     served: u64,
 }
 
@@ -71,50 +71,50 @@
     }
 
     /// A customer asks for `units`.
-    pub fn asked(&mut self, now: Millis, customer: &str, units: u64) {
+    pub fn record_demand(&mut self, now: Millis, customer: &str, units: u64) {
         self.record(now, customer, units, false);
     }
 
     /// A customer's request was placed.
-    pub fn served(&mut self, now: Millis, customer: &str, units: u64) {
+    pub fn record_service(&mut self, now: Millis, customer: &str, units: u64) {
         self.record(now, customer, units, true);
     }
 
     fn record(&mut self, now: Millis, customer: &str, units: u64, served: bool) {
-        self.forget(now);
+        self.expire(now);
         let account = match self.accounts.get_mut(customer) {
             Some(account) => account,
             None => self.accounts.entry(customer.to_string()).or_default(),
         };
         match served {
             true => account.served += units,
-            false => account.asked += units,
+            false => account.requested += units,
         }
         self.events.push_back(Event { at: now, customer: customer.to_string(), units, served });
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn expire(&mut self, now: Millis) {
         while self.events.front().is_some_and(|e| e.at + WINDOW_MS <= now) {
             let Some(event) = self.events.pop_front() else { return };
             let Some(account) = self.accounts.get_mut(&event.customer) else { continue };
             match event.served {
                 true => account.served -= event.units,
-                false => account.asked -= event.units,
+                false => account.requested -= event.units,
             }
-            if account.asked == 0 && account.served == 0 {
+            if account.requested == 0 && account.served == 0 {
                 self.accounts.remove(&event.customer);
             }
         }
     }
 
     /// What a customer got so far.
-    pub fn standing(&self, customer: &str) -> Standing {
-        let Some(account) = self.accounts.get(customer) else { return Standing::default() };
+    pub fn usage(&self, customer: &str) -> ShareUsage {
+        let Some(account) = self.accounts.get(customer) else { return ShareUsage::default() };
         let levels = self.levels();
         let served = account.served as f64;
         let over = |level: f64| if level > 0.0 { served / level } else { 0.0 };
-        let owed = (account.asked as f64).min(levels.owed);
-        Standing {
+        let owed = (account.requested as f64).min(levels.owed);
+        ShareUsage {
             ratio: over(levels.owed),
             fulfilment: if owed > 0.0 { served / owed } else { 1.0 },
             relative: over(levels.served),
@@ -123,7 +123,7 @@
 
     fn levels(&self) -> Levels {
         let mut demands: Vec<_> =
-            self.accounts.values().map(|a| a.asked.max(a.served) as f64).collect();
+            self.accounts.values().map(|a| a.requested.max(a.served) as f64).collect();
         demands.sort_unstable_by(f64::total_cmp);
         let served = level_of(self.accounts.values().map(|a| a.served as f64).sum(), &demands);
         let owed = match self.nominal {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -9,13 +9,13 @@
 mod restarts;
 mod rests;
 mod sessions;
-mod standing;
+mod share_usage;
 mod warmth;
 
 use proptest::prelude::*;
 
-use super::knowledge::{EndpointStartRef, Memory, Told};
 use super::parts::{Match, PartIndex};
+use super::records::{EndpointStartRef, PlacementRecords, PlacerId};
 use super::shares::{Shares, WINDOW_MS};
 use super::*;
 use crate::wire::HostId;
@@ -35,7 +35,7 @@
         rate: 50.0,
         copy_ms_per_token: Some(0.002),
         cold_per_second: None,
-        call: 1,
+        registration_seq: 1,
         warmup_ms: 0,
     }
 }
@@ -84,12 +84,12 @@
 }
 
 fn serve(placer: &mut Placer, now: u64, seq: u64) {
-    placer.receive(now, ROUTER, ToPlacer::Begun { seq });
+    placer.receive(now, ROUTER, ToPlacer::FirstEvent { seq });
     placer.receive(now, ROUTER, ToPlacer::Done { seq, completion: Completion::Served });
 }
 
 #[test]
-fn requests_with_a_shared_part_meet_where_it_is_kept() {
+fn requests_with_a_shared_part_go_to_the_engine_that_keeps_it() {
     let mut placer = placer(&["a", "b", "c"]);
     let first = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     serve(&mut placer, 300, 1);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_with_when_to_come_back() {
+fn a_request_that_cannot_meet_its_objective_is_refused_with_a_retry_delay() {
     let mut placer = placer(&["a"]);
     let mut refused = None;
     for seq in 1..100 {
@@ -132,34 +132,34 @@
 impl Engines {
     const READING_MS: u64 = 230;
 
-    fn take(&mut self, now: u64, seq: u64, endpoint: String) {
+    fn start_reading(&mut self, now: u64, seq: u64, endpoint: String) {
         let free_at = self.free_at.entry(endpoint).or_default();
         *free_at = (*free_at).max(now) + Self::READING_MS;
         self.reading.insert((*free_at, seq));
     }
 
     /// Prompts that have been read by now.
-    fn begun(&mut self, now: u64) -> Vec<u64> {
+    fn remove_read(&mut self, now: u64) -> Vec<u64> {
         let later = self.reading.split_off(&(now + 1, 0));
         std::mem::replace(&mut self.reading, later).into_iter().map(|(_, seq)| seq).collect()
     }
 }
 
 #[test]
-fn beside_a_flood_a_small_customer_gets_most_of_what_it_asks() {
+fn a_small_customer_gets_most_of_its_share_beside_a_flood() {
     let mut placer = placer(&["a", "b"]);
     let mut engines = Engines::default();
     let (mut small, mut flood) = (0, 0);
     let mut seq = 0;
     for now in (0..8_000).step_by(100) {
-        for begun in engines.begun(now) {
-            serve(&mut placer, now, begun);
+        for read in engines.remove_read(now) {
+            serve(&mut placer, now, read);
         }
         for customer in ["flood", "flood", "flood", "flood", "flood", "small"] {
             seq += 1;
             let asked = request(seq, customer, seq, 500);
             if let FromPlacer::Go { endpoint, .. } = place(&mut placer, now, asked) {
-                engines.take(now, seq, endpoint);
+                engines.start_reading(now, seq, endpoint);
                 match customer {
                     "small" => small += 1,
                     _ => flood += 1,
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn an_engine_that_fails_is_left_out_for_a_while() {
+fn a_failing_engine_is_excluded_for_a_while() {
     let mut placer = placer(&["a", "b"]);
     let home = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Failed });
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn an_engine_that_leaves_gets_nothing_new() {
+fn an_engine_that_leaves_gets_no_new_requests() {
     let mut placer = placer(&["a", "b"]);
     let home = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     let left = other_than(&home);
@@ -222,7 +222,7 @@
 /// The first engine to register is alone for a moment, and the guess of its rate
 /// is the whole fleet's.
 #[test]
-fn engines_that_register_one_after_the_other_are_taken_for_equally_fast() {
+fn engines_that_register_one_after_the_other_get_equal_rates() {
     let mut placer = Placer::new(PlacementRules::default());
     placer.set_engines(0, vec![EngineInfo { rate: 400.0, ..engine("a") }]);
     placer.set_engines(0, ["a", "b"].map(engine).into());
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn parts_unused_for_longest_give_way_from_their_ends() {
+fn least_recently_used_parts_are_evicted_from_their_ends() {
     let mut index = PartIndex::default();
     index.touch(0, &[(1, 100), (2, 100)], 300);
     index.touch(0, &[(3, 100), (4, 100)], 300);
@@ -262,21 +262,21 @@
 fn shares_are_max_min_over_a_sliding_window() {
     let mut shares = Shares::default();
     for (customer, asked, served) in [("a", 100, 100), ("b", 900, 500), ("c", 900, 300)] {
-        shares.asked(0, customer, asked);
-        shares.served(0, customer, served);
+        shares.record_demand(0, customer, asked);
+        shares.record_service(0, customer, served);
     }
     // 900 served: a gets its 100, b and c could have 400 each.
-    assert!((shares.standing("a").ratio - 0.25).abs() < 1e-9);
-    assert!((shares.standing("b").ratio - 1.25).abs() < 1e-9);
-    assert!((shares.standing("c").ratio - 0.75).abs() < 1e-9);
-    shares.asked(WINDOW_MS, "a", 1);
-    assert_eq!(shares.standing("b").ratio, 0.0);
+    assert!((shares.usage("a").ratio - 0.25).abs() < 1e-9);
+    assert!((shares.usage("b").ratio - 1.25).abs() < 1e-9);
+    assert!((shares.usage("c").ratio - 0.75).abs() < 1e-9);
+    shares.record_demand(WINDOW_MS, "a", 1);
+    assert_eq!(shares.usage("b").ratio, 0.0);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Place(u8, u8, u16),
-    Begun(u8),
+    FirstEvent(u8),
     Done(u8, bool),
     Wait(u16),
     Lost,
@@ -285,7 +285,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (any::<u8>(), 0u8..6, 1u16..20_000).prop_map(|(s, p, t)| Step::Place(s, p, t)),
-        3 => any::<u8>().prop_map(Step::Begun),
+        3 => any::<u8>().prop_map(Step::FirstEvent),
         3 => (any::<u8>(), any::<bool>()).prop_map(|(s, failed)| Step::Done(s, failed)),
         2 => (0u16..2_000).prop_map(Step::Wait),
         1 => Just(Step::Lost),
@@ -298,7 +298,7 @@
     /// Whatever happens, once every request has ended an engine takes work at
     /// once again: nothing that was placed is held for ever.
     #[test]
-    fn everything_placed_is_given_back(steps in proptest::collection::vec(step(), 0..80)) {
+    fn every_placed_request_is_released(steps in proptest::collection::vec(step(), 0..80)) {
         let mut placer = placer(&["a", "b"]);
         let mut now = 0;
         for step in steps {
@@ -309,18 +309,18 @@
                     let placed = placer.receive(now, ROUTER, ToPlacer::Place(request));
                     prop_assert!(placed.is_some());
                 }
-                Step::Begun(seq) => {
-                    placer.receive(now, ROUTER, ToPlacer::Begun { seq: seq.into() });
+                Step::FirstEvent(seq) => {
+                    placer.receive(now, ROUTER, ToPlacer::FirstEvent { seq: seq.into() });
                 }
                 Step::Done(seq, failed) => {
                     let completion = if failed { Completion::Failed } else { Completion::Served };
                     placer.receive(now, ROUTER, ToPlacer::Done { seq: seq.into(), completion });
                 }
                 Step::Wait(ms) => now += u64::from(ms),
-                Step::Lost => placer.lost(now, ROUTER),
+                Step::Lost => placer.remove_router(now, ROUTER),
             }
         }
-        placer.lost(now, ROUTER);
+        placer.remove_router(now, ROUTER);
         now += 60_000;
         let answer = place(&mut placer, now, request(1_000, "z", 99, 500));
         let placed = matches!(answer, FromPlacer::Go { .. });
@@ -331,21 +331,21 @@
 /// What routers remember lets a placer that takes over find what engines keep
 /// and have still to read.
 #[test]
-fn a_placer_that_takes_over_knows_what_routers_know() {
-    let mut memory = Memory::default();
+fn a_placer_that_takes_over_gets_the_state_of_routers() {
+    let mut records = PlacementRecords::default();
     let mut first = placer(&["a", "b", "c"]);
     let kept = request(1, "x", 7, 500);
     let home = endpoint(place(&mut first, 0, kept.clone()));
-    memory.placed(&kept, at(&home), Told::Host(HostId(8)));
-    assert_eq!(memory.begun(1), [Told::Host(HostId(8))]);
-    memory.ended(1);
+    records.record_placement(&kept, at(&home), PlacerId::Host(HostId(8)));
+    assert_eq!(records.record_first_event(1), [PlacerId::Host(HostId(8))]);
+    records.record_end(1);
     let waiting = request(2, "x", 9, 30_000);
     let busy = if home == "a" { "b" } else { "a" };
-    memory.placed(&waiting, at(busy), Told::Host(HostId(8)));
+    records.record_placement(&waiting, at(busy), PlacerId::Host(HostId(8)));
 
     let mut second = placer(&["a", "b", "c"]);
-    let knowledge = memory.tell(0, HostId(9));
-    assert!(second.receive(0, ROUTER, ToPlacer::Known(knowledge.clone())).is_none());
+    let snapshot = records.snapshot_for(0, HostId(9));
+    assert!(second.receive(0, ROUTER, ToPlacer::Snapshot(snapshot.clone())).is_none());
     let next = decide(&mut second, 0, request(3, "x", 7, 500));
     assert_eq!(
         next.answer,
@@ -361,8 +361,8 @@
     assert!(behind.backlog_ms > 500.0, "40,000 tokens wait there: {} ms", behind.backlog_ms);
 
     // Both are told how it ends, and hearing it twice changes nothing.
-    second.receive(0, ROUTER, ToPlacer::Known(knowledge));
-    assert_eq!(memory.ended(2), [Told::Host(HostId(8)), Told::Host(HostId(9))]);
+    second.receive(0, ROUTER, ToPlacer::Snapshot(snapshot));
+    assert_eq!(records.record_end(2), [PlacerId::Host(HostId(8)), PlacerId::Host(HostId(9))]);
     second.receive(1, ROUTER, ToPlacer::Done { seq: 2, completion: Completion::Served });
     let after = PlacementRequest { objective_ms: 60_000, ..request(5, "x", 12, 500) };
     decide(&mut second, 1, after);
@@ -370,20 +370,20 @@
 
 #[test]
 fn a_router_remembers_a_bounded_number_of_prompt_parts() {
-    let mut memory = Memory::default();
+    let mut records = PlacementRecords::default();
     for seq in 1..2_000 {
-        memory.placed(&request(seq, "x", seq, 500), at("a"), Told::Local);
-        memory.begun(seq);
-        memory.ended(seq);
+        records.record_placement(&request(seq, "x", seq, 500), at("a"), PlacerId::Local);
+        records.record_first_event(seq);
+        records.record_end(seq);
     }
-    let knowledge = memory.tell(0, HostId(9));
-    assert!(knowledge.open.is_empty());
-    assert_eq!(knowledge.kept.len(), 256);
-    assert_eq!(knowledge.kept.last().unwrap().parts, [(1_999, 10_000)]);
+    let snapshot = records.snapshot_for(0, HostId(9));
+    assert!(snapshot.open.is_empty());
+    assert_eq!(snapshot.kept.len(), 256);
+    assert_eq!(snapshot.kept.last().unwrap().parts, [(1_999, 10_000)]);
 }
 
 #[test]
-fn an_underserved_customer_is_rather_late_than_refused() {
+fn requests_of_an_underserved_customer_are_late_rather_than_refused() {
     let mut placer = placer(&["a"]);
     // One that was served far above its share fills the engine.
     let mut seq = 0;
--- a/src/placement/tests/parts.rs
+++ b/src/placement/tests/parts.rs
@@ -80,7 +80,7 @@
                     }
                 }
                 Step::Forget(engine) => {
-                    index.forget(engine);
+                    index.remove_engine(engine);
                     plain[engine].clear();
                 }
             }
--- a/src/placement/tests/pauses.rs
+++ b/src/placement/tests/pauses.rs
@@ -4,9 +4,10 @@
 
 use super::*;
 use crate::placement::engine::RequestKey;
-use crate::placement::pauses::{Reader, Streams, is_stretched};
+use crate::placement::pauses::{ReadingProfile, Streams, exceeds_promise};
 
-const READER: Reader = Reader { rate: 64.0, tokens_per_event: 8, piece_tokens: 2_048 };
+const PROFILE: ReadingProfile =
+    ReadingProfile { rate: 64.0, tokens_per_event: 8, piece_tokens: 2_048 };
 /// What callers are promised.
 const PROMISED_MS: u32 = 400;
 
@@ -23,34 +24,34 @@
 }
 
 #[test]
-fn a_prompt_stretches_pauses_by_its_last_pieces() {
-    let short = READER.longest_pause_ms(0, 600);
-    let piece = READER.longest_pause_ms(0, 2_048);
-    let event = READER.longest_pause_ms(0, 8 * 2_048);
+fn a_prompt_extends_pauses_by_its_last_pieces() {
+    let short = PROFILE.longest_pause_ms(0, 600);
+    let piece = PROFILE.longest_pause_ms(0, 2_048);
+    let event = PROFILE.longest_pause_ms(0, 8 * 2_048);
     assert!(short < piece && piece < event, "{short} {piece} {event}");
     // What is read before them counts as context only.
-    let longer = READER.longest_pause_ms(0, 16 * 2_048);
+    let longer = PROFILE.longest_pause_ms(0, 16 * 2_048);
     assert!(longer > event && longer < 1.5 * event, "{event} {longer}");
     // So does what is kept.
-    assert!(READER.longest_pause_ms(16 * 2_048, 600) < 2.0 * short);
-    assert!((READER.longest_pause_ms(8 * 2_048, 8 * 2_048) - longer).abs() < 1.0);
-    assert!(!is_stretched(short, PROMISED_MS) && is_stretched(longer, PROMISED_MS));
-    assert!(!is_stretched(longer, 0), "who was promised nothing has nothing to lose");
+    assert!(PROFILE.longest_pause_ms(16 * 2_048, 600) < 2.0 * short);
+    assert!((PROFILE.longest_pause_ms(8 * 2_048, 8 * 2_048) - longer).abs() < 1.0);
+    assert!(!exceeds_promise(short, PROMISED_MS) && exceeds_promise(longer, PROMISED_MS));
+    assert!(!exceeds_promise(longer, 0), "a stream without a promise cannot be late");
 }
 
 #[test]
-fn a_stream_that_is_late_has_no_more_to_lose() {
+fn a_late_stream_is_no_longer_counted() {
     let mut streams = Streams::default();
-    streams.begin(key(1), PROMISED_MS);
-    streams.begin(key(2), 2 * PROMISED_MS);
-    streams.begin(key(3), 0);
-    streams.begin(key(4), PROMISED_MS);
-    streams.end(key(4));
-    assert_eq!(streams.harmed_by(500.0), 1);
-    assert_eq!(streams.harmed_by(5_000.0), 2);
-    streams.stretch(500.0);
-    assert_eq!(streams.harmed_by(500.0), 0);
-    assert_eq!(streams.harmed_by(5_000.0), 1);
+    streams.add(key(1), PROMISED_MS);
+    streams.add(key(2), 2 * PROMISED_MS);
+    streams.add(key(3), 0);
+    streams.add(key(4), PROMISED_MS);
+    streams.remove(key(4));
+    assert_eq!(streams.count_exceeded(500.0), 1);
+    assert_eq!(streams.count_exceeded(5_000.0), 2);
+    streams.record_pause(500.0);
+    assert_eq!(streams.count_exceeded(500.0), 0);
+    assert_eq!(streams.count_exceeded(5_000.0), 1);
 }
 
 /// Engines that read one prompt after the other beside streams that run for a while.
@@ -73,7 +74,7 @@
     const FIRST_EVENT_MS: u64 = 30;
     const TOKENS_PER_MS: u64 = 50;
 
-    fn take(&mut self, now: u64, request: &PlacementRequest, answer: FromPlacer) {
+    fn record_placement(&mut self, now: u64, request: &PlacementRequest, answer: FromPlacer) {
         let FromPlacer::Go { endpoint, copy_from, .. } = answer else {
             panic!("not placed: {answer:?}");
         };
@@ -88,24 +89,24 @@
         *free_at = from + u64::from(tokens) / Self::TOKENS_PER_MS;
         let begins = *free_at + Self::FIRST_EVENT_MS;
         if own_tokens > 8 * 2_048 {
-            let is_hurt = |(at, since): &(String, u64)| *at == endpoint && *since < begins;
-            let hurt = self.streams.iter().filter(|(_, stream)| is_hurt(stream));
-            let hurt: Vec<u64> = hurt.map(|(seq, _)| *seq).collect();
-            self.late.extend(hurt);
+            let is_delayed = |(at, since): &(String, u64)| *at == endpoint && *since < begins;
+            let delayed = self.streams.iter().filter(|(_, stream)| is_delayed(stream));
+            let delayed: Vec<u64> = delayed.map(|(seq, _)| *seq).collect();
+            self.late.extend(delayed);
         }
         self.streams.insert(request.seq, (endpoint, begins));
         self.coming.insert((begins, request.seq, true));
         self.coming.insert((begins + Self::STREAM_MS, request.seq, false));
     }
 
-    fn tell(&mut self, placer: &mut Placer, now: u64) {
+    fn report_events(&mut self, placer: &mut Placer, now: u64) {
         while let Some((at, seq, begins)) = self.coming.pop_first() {
             if at > now {
                 self.coming.insert((at, seq, begins));
                 return;
             }
             if begins {
-                placer.receive(at, ROUTER, ToPlacer::Begun { seq });
+                placer.receive(at, ROUTER, ToPlacer::FirstEvent { seq });
             } else {
                 self.streams.remove(&seq);
                 placer.receive(at, ROUTER, ToPlacer::Done { seq, completion: Completion::Served });
@@ -121,7 +122,7 @@
     let mut fleet = Fleet::default();
     for seq in 1..=400 {
         let now = seq * 91;
-        fleet.tell(&mut placer, now);
+        fleet.report_events(&mut placer, now);
         let (shared, tokens) = if seq % 11 == 0 { (2, 20_000) } else { (1, 600) };
         let mut asked = request(seq, "x", shared, tokens);
         asked.parts[0].1 = 2_000;
@@ -129,7 +130,7 @@
         asked.objective_ms = if tokens > 600 { 2_000 } else { 400 };
         asked.pause_objective_ms = pause_ms;
         let answer = place(&mut placer, now, asked.clone());
-        fleet.take(now, &asked, answer);
+        fleet.record_placement(now, &asked, answer);
     }
     fleet
 }
@@ -137,20 +138,20 @@
 #[test]
 fn streams_keep_their_pauses_beside_long_prompts_that_are_all_read() {
     let (before, now) = (play(0), play(PROMISED_MS));
-    assert!(before.late.len() > 40, "the load hurts: {}", before.late.len());
+    assert!(before.late.len() > 40, "the load makes streams late: {}", before.late.len());
     assert!(now.late.len() * 5 < before.late.len(), "{} {}", before.late.len(), now.late.len());
     // Shared parts are still found where they are kept.
     assert!(now.shared_read <= before.shared_read + 6_000, "{}", now.shared_read);
 }
 
 #[test]
-fn a_long_prompt_is_read_also_where_streams_run_everywhere() {
+fn a_long_prompt_is_placed_even_if_streams_run_on_all_engines() {
     let mut placer = placer(&["a", "b"]);
     for seq in 1..9 {
         let mut asked = request(seq, "x", 1, 600);
         asked.pause_objective_ms = PROMISED_MS;
         endpoint(place(&mut placer, seq * 1_000, asked));
-        placer.receive(seq * 1_000 + 500, ROUTER, ToPlacer::Begun { seq });
+        placer.receive(seq * 1_000 + 500, ROUTER, ToPlacer::FirstEvent { seq });
     }
     for seq in 10..14 {
         let mut long = request(seq, "x", 1, 20_000);
@@ -161,14 +162,18 @@
 }
 
 #[test]
-fn a_new_placer_is_told_which_streams_were_promised_what() {
+fn a_new_placer_gets_the_promises_of_running_streams() {
     let mut asked = request(1, "x", 1, 600);
     asked.pause_objective_ms = PROMISED_MS;
-    let mut memory = Memory::default();
-    memory.placed(&asked, EndpointStartRef { endpoint: "a", started_at_ms: 0 }, Told::Local);
-    memory.begun(1);
+    let mut records = PlacementRecords::default();
+    records.record_placement(
+        &asked,
+        EndpointStartRef { endpoint: "a", started_at_ms: 0 },
+        PlacerId::Local,
+    );
+    records.record_first_event(1);
     let mut placer = placer(&["a", "b"]);
-    placer.receive(0, ROUTER, ToPlacer::Known(memory.tell(0, ROUTER)));
+    placer.receive(0, ROUTER, ToPlacer::Snapshot(records.snapshot_for(0, ROUTER)));
     // What its parts are worth at the one engine, the stream there is worth more.
     let mut long = request(2, "x", 1, 20_000);
     (long.pause_objective_ms, long.objective_ms) = (PROMISED_MS, 2_000);
--- a/src/placement/tests/queue.rs
+++ b/src/placement/tests/queue.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn who_must_start_early_goes_ahead_of_those_that_may_wait() {
+fn prompts_are_queued_by_latest_start() {
     let queue = queue(&[400.0, 400.0]);
     let early = queue.position(PACE, 150.0);
     assert_eq!((early.index, early.wait_ms), (0, 0.0));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn nobody_goes_ahead_of_what_was_sent_at_full_speed() {
+fn no_prompt_overtakes_the_backlog_already_sent() {
     let pace = Pace { backlog_ms: 120.0, lateness_ms: 5.0, ..PACE };
     let queue = queue(&[400.0, 400.0]);
     assert_eq!(queue.position(pace, 150.0).wait_ms, 125.0);
@@ -38,7 +38,7 @@
     let mut queue = queue(&[0.0, 0.0]);
     queue.advance(100, PACE);
     assert_eq!(queue.wait_ms(100, PACE), 300.0);
-    assert_eq!(queue.wait_ms(300, PACE), 100.0, "seen from later, not advanced");
+    assert_eq!(queue.wait_ms(300, PACE), 100.0, "seen from a later time, without advancing");
     queue.advance(300, PACE);
     assert_eq!(queue.wait_ms(300, PACE), 100.0);
     // Idle time is not saved up.
@@ -50,7 +50,7 @@
 /// An engine whose queue long prompts with long objectives fill has room for a short
 /// one with a short objective.
 #[test]
-fn a_short_prompt_is_taken_where_long_ones_wait() {
+fn a_short_prompt_is_placed_where_long_ones_wait() {
     let mut placer = placer(&["a"]);
     let own = |seq: u64, tokens, objective_ms| PlacementRequest {
         parts: vec![(seq, tokens)],
@@ -68,7 +68,7 @@
     }
     // All was read at full speed but for a little, and is paced for longer.
     for read in 1..seq {
-        placer.receive(20 * read + 60, ROUTER, ToPlacer::Begun { seq: read });
+        placer.receive(20 * read + 60, ROUTER, ToPlacer::FirstEvent { seq: read });
     }
     let now = 20 * seq + 60;
     assert!(matches!(place(&mut placer, now, own(100, 500, 400)), FromPlacer::Go { .. }));
@@ -79,26 +79,26 @@
 fn prompts_that_were_overtaken_count_as_read() {
     let mut model = EngineModel::new(64, 500_000, 50.0, 1.0);
     let silent = (HostId(2), 1);
-    model.send(0, silent, &[], 5_000.0, 5_000);
-    model.send(200, (ROUTER, 2), &[], 500.0, 500);
+    model.record_sent(0, silent, &[], 5_000.0, 5_000);
+    model.record_sent(200, (ROUTER, 2), &[], 500.0, 500);
     assert!(model.is_stalled(2_000));
-    model.begun(2_000, (ROUTER, 2));
+    model.record_first_event(2_000, (ROUTER, 2));
     assert!(!model.is_stalled(4_000));
     assert_eq!(model.backlog_ms(4_000), 0.0);
 }
 
 #[test]
-fn lateness_is_observed_and_fades() {
+fn lateness_is_observed_and_decays() {
     let mut model = EngineModel::new(64, 500_000, 50.0, 1.0);
-    model.send(0, (ROUTER, 1), &[], 500.0, 500);
-    model.begun(1_000, (ROUTER, 1));
+    model.record_sent(0, (ROUTER, 1), &[], 500.0, 500);
+    model.record_first_event(1_000, (ROUTER, 1));
     let late = model.pace(1_000).lateness_ms;
     assert!(late > 0.0);
     assert!(model.pace(1_200).lateness_ms < late * 0.6);
 }
 
 #[test]
-fn an_engine_whose_address_another_has_gets_nothing_more() {
+fn a_replaced_engine_gets_no_more_requests() {
     let mut placer = placer(&["a", "b"]);
     let gone = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Replaced });
--- a/src/placement/tests/rate.rs
+++ b/src/placement/tests/rate.rs
@@ -9,7 +9,7 @@
 const TRUE_RATE: f64 = 50.0;
 const ENGINES: usize = 300;
 /// Milliseconds to a first event beyond reading.
-const FIXED_MS: u64 = 55;
+const FIRST_EVENT_OVERHEAD_MS: u64 = 55;
 
 /// Many engines with little to do: a request every 20 ms, four in a row
 /// with one shared part. Each
@@ -36,7 +36,7 @@
             FromPlacer::Go { endpoint, .. } => {
                 let tokens = if kept.insert((endpoint, shared)) { 10_500.0 } else { 500.0 };
                 let read_ms = (tokens / TRUE_RATE) as u64;
-                running.insert((now + read_ms + FIXED_MS, seq), ());
+                running.insert((now + read_ms + FIRST_EVENT_OVERHEAD_MS, seq), ());
             }
             _ if seq > requests / 2 => refused += 1,
             _ => {}
@@ -46,6 +46,6 @@
 }
 
 #[test]
-fn what_some_engines_read_is_believed_of_those_that_have_read_nothing() {
+fn the_learned_rate_applies_to_engines_without_observations() {
     assert_eq!(refused(500), 0);
 }
--- a/src/placement/tests/regions.rs
+++ b/src/placement/tests/regions.rs
@@ -19,7 +19,7 @@
 /// A placer with these engines near the router that asks, and far from it.
 fn placer_of(near: &[&str], far: &[&str]) -> Placer {
     let mut placer = Placer::new(PlacementRules::default());
-    placer.set_distances(Distances::new(regions()));
+    placer.set_hall_regions(HallRegions::new(regions()));
     let near = near.iter().map(|id| engine(id));
     placer.set_engines(0, near.chain(far.iter().map(|id| far_engine(id))).collect());
     placer
@@ -33,7 +33,7 @@
 }
 
 /// A customer of its own for each request, so that no share is exceeded.
-fn asked(seq: u64) -> PlacementRequest {
+fn request_of_new_customer(seq: u64) -> PlacementRequest {
     request(seq, &seq.to_string(), seq, 500)
 }
 
@@ -42,7 +42,7 @@
     let mut placer = placer_of(&["n1", "n2"], &["f1", "f2", "f3", "f4"]);
     for seq in 1..50 {
         let now = seq * 1_000;
-        let to = endpoint(place(&mut placer, now, asked(seq)));
+        let to = endpoint(place(&mut placer, now, request_of_new_customer(seq)));
         assert!(to.starts_with('n'), "request {seq} went to {to}");
         serve(&mut placer, now + 300, seq);
     }
@@ -51,14 +51,15 @@
 #[test]
 fn engines_of_another_region_get_what_its_own_cannot_serve_in_time() {
     let mut placer = placer_of(&["n"], &["f"]);
-    let to: Vec<_> = (1..6).map(|seq| endpoint(place(&mut placer, 0, asked(seq)))).collect();
+    let to: Vec<_> =
+        (1..6).map(|seq| endpoint(place(&mut placer, 0, request_of_new_customer(seq)))).collect();
     assert_eq!(to[0], "n");
     assert!(to.contains(&"f".to_string()), "{to:?}");
 }
 
 #[test]
 fn the_way_to_another_region_counts_against_the_objective() {
-    let own_ms = |mut placer: Placer| decide(&mut placer, 0, asked(1)).own_ms;
+    let own_ms = |mut placer: Placer| decide(&mut placer, 0, request_of_new_customer(1)).own_ms;
     let difference = own_ms(placer_of(&[], &["f"])) - own_ms(placer_of(&["n"], &[]));
     let way = PlacementRules::default().other_region_round_trip_ms;
     assert!((difference - way).abs() < 1e-9, "{difference} ms");
@@ -68,27 +69,28 @@
 fn a_bound_request_never_leaves_its_region_however_long_it_waits_there() {
     let mut placer = placer_of(&["n"], &["f"]);
     for seq in 1..100 {
-        match place(&mut placer, 0, bound(&["r"], asked(seq))) {
+        match place(&mut placer, 0, bound(&["r"], request_of_new_customer(seq))) {
             FromPlacer::Go { endpoint, .. } => assert_eq!(endpoint, "n"),
             FromPlacer::Refuse { refusal, .. } => assert!(refusal.retry_after_ms > 0),
             FromPlacer::Unknown { .. } => panic!("an engine of its region is known"),
         }
     }
-    assert_eq!(endpoint(place(&mut placer, 0, bound(&["s"], asked(100)))), "f");
+    assert_eq!(endpoint(place(&mut placer, 0, bound(&["s"], request_of_new_customer(100)))), "f");
 }
 
 #[test]
 fn a_bound_request_that_failed_is_not_sent_to_another_region() {
     let mut placer = placer_of(&["n"], &["f"]);
-    let again = PlacementRequest { avoid: vec!["n".into()], ..bound(&["r"], asked(1)) };
+    let again =
+        PlacementRequest { avoid: vec!["n".into()], ..bound(&["r"], request_of_new_customer(1)) };
     assert_eq!(place(&mut placer, 0, again), FromPlacer::Unknown { seq: 1 });
 }
 
 #[test]
-fn where_no_region_with_engines_is_allowed_none_is_known() {
+fn if_no_allowed_region_has_engines_the_answer_is_unknown() {
     let mut placer = placer_of(&["n"], &["f"]);
     for regions in [&["planned"][..], &[]] {
-        let answer = place(&mut placer, 0, bound(regions, asked(1)));
+        let answer = place(&mut placer, 0, bound(regions, request_of_new_customer(1)));
         assert_eq!(answer, FromPlacer::Unknown { seq: 1 });
     }
 }
@@ -123,9 +125,9 @@
 }
 
 #[test]
-fn a_router_whose_region_is_not_known_asks_for_any_engine() {
+fn a_router_whose_region_is_not_known_may_use_any_engine() {
     let mut placer = placer_of(&[], &["f"]);
-    let unknown = PlacementRequest { hall: "elsewhere".into(), ..asked(1) };
+    let unknown = PlacementRequest { hall: "elsewhere".into(), ..request_of_new_customer(1) };
     let here = decide(&mut placer, 0, unknown);
     assert_eq!(endpoint(here.answer), "f");
     assert!(here.own_ms > 0.0);
--- a/src/placement/tests/releases.rs
+++ b/src/placement/tests/releases.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_request_for_a_release_that_has_no_place_is_told_so_and_not_sent_elsewhere() {
+fn a_request_for_a_release_without_room_is_refused_and_not_sent_elsewhere() {
     let mut placer = Placer::new(PlacementRules::default());
     let cold =
         EngineInfo { cold_per_second: Some(0.5), warmup_ms: 60_000, ..engine_of("new", "v2") };
@@ -64,11 +64,11 @@
         let answer = place(&mut placer, 1, canary(seq));
         matches!(answer, FromPlacer::Refuse { .. })
     });
-    assert!(refused, "it bears few");
+    assert!(refused, "its cold limit is low");
 }
 
 #[test]
-fn a_request_asked_for_twice_counts_once_in_its_customers_share() {
+fn a_repeated_request_counts_once_in_its_customers_share() {
     let share = |demand_recorded| {
         let mut placer = placer(&["a"]);
         let again = PlacementRequest { demand_recorded, ..request(2, "x", 8, 500) };
--- a/src/placement/tests/restarts.rs
+++ b/src/placement/tests/restarts.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_was_sent_to_an_earlier_start_has_ended() {
+fn requests_sent_to_an_earlier_start_have_ended() {
     let mut placer = placer_of(vec![started("a", 1)]);
     for seq in 1..5 {
         place(&mut placer, 0, request(seq, "x", seq, 500));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_new_start_is_used_though_another_endpoint_had_the_earlier_ones_address() {
+fn a_new_start_is_used_after_the_earlier_one_was_replaced_at_its_address() {
     let mut placer = placer_of(vec![started("a", 1)]);
     place(&mut placer, 0, request(1, "x", 1, 500));
     placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Replaced });
@@ -59,27 +59,31 @@
 }
 
 #[test]
-fn what_a_router_knows_of_an_earlier_start_is_not_believed_of_a_later_one() {
-    let mut memory = Memory::default();
+fn a_snapshot_of_an_earlier_start_does_not_apply_to_a_later_one() {
+    let mut records = PlacementRecords::default();
     let kept = request(1, "x", 7, 500);
-    memory.placed(&kept, EndpointStartRef { endpoint: "a", started_at_ms: 1 }, Told::Local);
-    memory.begun(1);
-    memory.ended(1);
-    memory.placed(
+    records.record_placement(
+        &kept,
+        EndpointStartRef { endpoint: "a", started_at_ms: 1 },
+        PlacerId::Local,
+    );
+    records.record_first_event(1);
+    records.record_end(1);
+    records.record_placement(
         &request(2, "x", 9, 30_000),
         EndpointStartRef { endpoint: "a", started_at_ms: 1 },
-        Told::Local,
+        PlacerId::Local,
     );
-    let knowledge = memory.tell(0, HostId(9));
-    let told = |started_at_ms| {
+    let snapshot = records.snapshot_for(0, HostId(9));
+    let after_snapshot = |started_at_ms| {
         let mut placer = placer_of(vec![started("a", started_at_ms)]);
-        placer.receive(0, ROUTER, ToPlacer::Known(knowledge.clone()));
+        placer.receive(0, ROUTER, ToPlacer::Snapshot(snapshot.clone()));
         let asked = PlacementRequest { objective_ms: 60_000, ..request(3, "x", 7, 500) };
         let decision = decide(&mut placer, 0, asked);
         (decision.own_ms, decision.backlog_ms)
     };
-    let (own_ms, backlog_ms) = told(1);
-    let (own_ms_later, backlog_ms_later) = told(2);
+    let (own_ms, backlog_ms) = after_snapshot(1);
+    let (own_ms_later, backlog_ms_later) = after_snapshot(2);
     assert!(own_ms < own_ms_later / 2.0, "{own_ms} and {own_ms_later}");
     assert!(backlog_ms > 0.0);
     assert_eq!(backlog_ms_later, 0.0);
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -25,8 +25,8 @@
     feeds: usize,
     /// Placement sessions in which it answers nothing; it refuses all in later ones.
     silent_sessions: usize,
-    feeds_taken: Arc<AtomicUsize>,
-    sessions_taken: Arc<AtomicUsize>,
+    feeds_accepted: Arc<AtomicUsize>,
+    sessions_accepted: Arc<AtomicUsize>,
 }
 
 impl ControlHost {
@@ -34,16 +34,16 @@
         while let Some(connection) = incoming.recv().await {
             let host = self.clone();
             match connection.open {
-                Open::Feed { .. } => tokio::spawn(host.take_feed(connection)),
-                Open::Place { .. } => tokio::spawn(host.take_session(connection)),
+                Open::Feed { .. } => tokio::spawn(host.serve_feed(connection)),
+                Open::Place { .. } => tokio::spawn(host.serve_session(connection)),
                 open => panic!("{open:?}"),
             };
         }
     }
 
-    async fn take_feed(self, connection: Incoming) {
+    async fn serve_feed(self, connection: Incoming) {
         let Incoming { reader, writer, .. } = connection;
-        if self.feeds_taken.fetch_add(1, Ordering::SeqCst) >= self.feeds {
+        if self.feeds_accepted.fetch_add(1, Ordering::SeqCst) >= self.feeds {
             let _open = (reader, writer);
             return std::future::pending().await;
         }
@@ -52,9 +52,10 @@
         let _ = publish(publication, self.peers.sent.clone(), reader, writer).await;
     }
 
-    async fn take_session(self, connection: Incoming) {
+    async fn serve_session(self, connection: Incoming) {
         let Incoming { mut reader, mut writer, .. } = connection;
-        let is_silent = self.sessions_taken.fetch_add(1, Ordering::SeqCst) < self.silent_sessions;
+        let is_silent =
+            self.sessions_accepted.fetch_add(1, Ordering::SeqCst) < self.silent_sessions;
         while let Ok(messages) = reader.next::<Vec<ToPlacer>>().await {
             let refuse = |message| match message {
                 ToPlacer::Place(request) if !is_silent => {
@@ -84,8 +85,8 @@
         peers,
         feeds,
         silent_sessions: silent,
-        feeds_taken: Arc::default(),
-        sessions_taken: Arc::default(),
+        feeds_accepted: Arc::default(),
+        sessions_accepted: Arc::default(),
     };
     tokio::spawn(host.clone().serve(incoming));
     let (router, _) = start_peers(Role::Router, first + 1, vec![peer_address(first)]).await;
@@ -98,18 +99,17 @@
     };
     let followed = Subscriptions::start(router.clone(), followed, "a", Role::Router);
     let local = LocalPlacer::new(router.me, router.clock, documents, registry, Default::default());
-    let placements =
-        PlacementClient::start(router, followed, local, "a".into(), LoopLag::default());
-    wait_until(|| host.sessions_taken.load(Ordering::SeqCst) > 0).await;
-    (host, placements)
+    let client = PlacementClient::start(router, followed, local, "a".into(), LoopLag::default());
+    wait_until(|| host.sessions_accepted.load(Ordering::SeqCst) > 0).await;
+    (host, client)
 }
 
 #[tokio::test]
-async fn a_session_that_answers_nothing_is_opened_anew() {
-    let (_host, placements) = start(101, usize::MAX, 1).await;
+async fn a_session_without_answers_is_reopened() {
+    let (_host, client) = start(101, usize::MAX, 1).await;
     let asking = async {
         while !matches!(
-            placements.place(PlacementRequest::default()).await,
+            client.place(PlacementRequest::default()).await,
             PlacementOutcome::Refused(_)
         ) {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -122,23 +122,23 @@
 /// Connections to one host die together, and a session on which nothing is asked shows
 /// nothing by itself: it would be found dead when it is needed.
 #[tokio::test]
-async fn a_session_is_opened_anew_with_the_feed_that_fell_silent() {
-    let (host, _placements) = start(103, 0, 0).await;
-    wait_until(|| host.feeds_taken.load(Ordering::SeqCst) > 1).await;
-    wait_until(|| host.sessions_taken.load(Ordering::SeqCst) > 1).await;
+async fn a_session_is_reopened_when_the_feed_falls_silent() {
+    let (host, _client) = start(103, 0, 0).await;
+    wait_until(|| host.feeds_accepted.load(Ordering::SeqCst) > 1).await;
+    wait_until(|| host.sessions_accepted.load(Ordering::SeqCst) > 1).await;
 }
 
 #[test]
-fn a_placer_counts_as_out_of_reach_after_two_seconds_of_unanswered_questions() {
+fn a_connection_counts_as_dead_after_two_seconds_of_unanswered_queries() {
     let mut unanswered = Unanswered::default();
-    assert!(!unanswered.note(1_000));
-    assert!(!unanswered.note(1_800));
-    assert!(!unanswered.note(2_900));
-    assert!(unanswered.note(3_000));
+    assert!(!unanswered.record_timeout(1_000));
+    assert!(!unanswered.record_timeout(1_800));
+    assert!(!unanswered.record_timeout(2_900));
+    assert!(unanswered.record_timeout(3_000));
 }
 
 #[test]
-fn a_question_unanswered_now_and_then_says_nothing_of_the_connection() {
+fn occasional_timeouts_do_not_count_as_a_dead_connection() {
     let mut unanswered = Unanswered::default();
-    assert!([1_000, 3_000, 60_000, 90_000].iter().all(|now| !unanswered.note(*now)));
+    assert!([1_000, 3_000, 60_000, 90_000].iter().all(|now| !unanswered.record_timeout(*now)));
 }
--- a/src/placement/tests/standing.rs
+++ b/src/placement/tests/share_usage.rs
@@ -3,26 +3,26 @@
 use super::*;
 
 #[test]
-fn what_engines_are_meant_to_do_bounds_what_is_owed() {
+fn nominal_capacity_limits_the_shares() {
     let mut shares = Shares::default();
     for customer in ["a", "b"] {
-        shares.asked(0, customer, 10_000);
-        shares.served(0, customer, 4_000);
+        shares.record_demand(0, customer, 10_000);
+        shares.record_service(0, customer, 4_000);
     }
-    assert_eq!(shares.standing("a").ratio, 1.0);
+    assert_eq!(shares.usage("a").ratio, 1.0);
     // 1,000 a second are 4,000 in a window, 2,000 for each.
     shares.set_nominal(1_000);
-    assert_eq!(shares.standing("a").ratio, 2.0);
-    assert_eq!(shares.standing("a").relative, 1.0);
+    assert_eq!(shares.usage("a").ratio, 2.0);
+    assert_eq!(shares.usage("a").relative, 1.0);
     // Where engines do less than that, what they do is divided.
     shares.set_nominal(100_000);
-    assert_eq!(shares.standing("a").ratio, 1.0);
+    assert_eq!(shares.usage("a").ratio, 1.0);
 }
 
 /// Both ask for more than they are owed; the one that got less of the surplus may
 /// wait longer for it.
 #[test]
-fn surplus_goes_to_who_got_less_of_it() {
+fn surplus_goes_to_the_customer_that_received_less_of_it() {
     let mut placer = placer(&["a"]);
     placer.set_nominal(1_000);
     let ask = |seq, customer| PlacementRequest {
--- a/src/placement/timing.rs
+++ b/src/placement/timing.rs
@@ -4,10 +4,10 @@
 use crate::dispatch::Millis;
 
 /// Milliseconds to a first event beyond the reading of prompts.
-pub const FIXED_MS: f64 = 55.0;
+pub const FIRST_EVENT_OVERHEAD_MS: f64 = 55.0;
 /// Milliseconds beyond twice the time that a prompt should take after which its
 /// engine is taken for stalled: less than the shortest objective seen. Chosen.
-const STALL_MS: f64 = 250.0;
+const STALL_MARGIN_MS: f64 = 250.0;
 
 /// The prompt that an engine reads now.
 #[derive(Clone, Copy, Debug)]
@@ -35,8 +35,8 @@
         let Some(first) = units.next() else { return Timing::default() };
         let head_ms = first / rate;
         let done_at = head_since + head_ms;
-        let overdue_at = done_at + FIXED_MS;
-        let stalled_at = overdue_at + head_ms + STALL_MS;
+        let overdue_at = done_at + FIRST_EVENT_OVERHEAD_MS;
+        let stalled_at = overdue_at + head_ms + STALL_MARGIN_MS;
         let head = Head { done_at, overdue_at, stalled_at };
         Timing { head: Some(head), behind_ms: units.sum::<f64>() / rate }
     }
--- a/src/placement/unanswered.rs
+++ b/src/placement/unanswered.rs
@@ -6,7 +6,7 @@
 /// Milliseconds for which questions may stay unanswered until the connection counts as
 /// dead. Hosts that are gone are suspected before; one that is only behind its work keeps
 /// its session, and with it all that it knows of a router's requests.
-const SILENT_MS: Millis = 2_000;
+const DEAD_AFTER_MS: Millis = 2_000;
 
 /// Questions in a row that were not answered in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -18,10 +18,10 @@
 impl Unanswered {
     /// One more question ran out of time; whether the connection counts as dead. A pause
     /// without questions says nothing, so a run begins anew after it.
-    pub fn note(&mut self, now: Millis) -> bool {
-        let goes_on = self.run.filter(|(_, last)| now.saturating_sub(*last) < SILENT_MS);
-        let first = goes_on.map_or(now, |(first, _)| first);
+    pub fn record_timeout(&mut self, now: Millis) -> bool {
+        let current_run = self.run.filter(|(_, last)| now.saturating_sub(*last) < DEAD_AFTER_MS);
+        let first = current_run.map_or(now, |(first, _)| first);
         self.run = Some((first, now));
-        now.saturating_sub(first) >= SILENT_MS
+        now.saturating_sub(first) >= DEAD_AFTER_MS
     }
 }
