--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,13 +1,14 @@
-//! Which engine reads a prompt, and whether it can do so in time.
+//! Chooses the engine that prefills each request's prompt, and refuses requests that no engine can
+//! start in time.
 //!
-//! Reading prompts is what engines have least of, so each engine is modelled by
-//! the prompts that it has still to read and by the prompt parts that it keeps.
-//! A request goes where its first event comes first, counting what is kept
-//! there, and waits in order of its latest start until the engine is about to run
-//! dry; one that cannot make its objective anywhere is refused at once, with the
-//! time at which it could. Customers above their fair share leave room for
-//! the others. One placer decides for all routers that reach it; see
-//! `docs/DISPATCH.md`.
+//! Prefill ("reading" a prompt) is the scarcest capacity of engines. Each engine is therefore
+//! modelled by the prompts that it has still to read and by the prompt parts that it keeps in its
+//! cache. A request goes to the engine with the earliest expected first event, counting the parts
+//! cached there. It waits in the placer's model of that engine's queue, ordered by latest start. A
+//! request that cannot meet its objective on any engine is refused at once, with the time after
+//! which a retry would meet it. Customers above their fair share are admitted only while little is
+//! queued, which leaves capacity for the others. One placer decides for all routers that reach it;
+//! see `docs/DISPATCH.md`.
 
 mod choice;
 mod client;
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: the engine, the place in its queue, and what it should
+//! Chooses the engine for a request, its position in that engine's queue, and the prompt parts to
 //! copy from another engine.
 
 use slab::Slab;
@@ -20,19 +20,21 @@
 use crate::region::are_apart;
 use crate::wire::HostId;
 
-/// Service over an equal part below which being served less says no more.
+/// Lower bound of a customer's relative service when its allowed wait is computed; the wait does
+/// not grow further for customers that were served less.
 const MIN_RELATIVE_SERVICE: f64 = 0.25;
-/// Milliseconds by which requests beyond what their customer is owed are put off in the
-/// order of an engine's queue: longer than any objective.
+/// Delay in milliseconds that is added to the latest start of requests beyond their customer's
+/// share. Longer than any objective, so that they queue behind all requests within a share.
 const ABOVE_SHARE_DELAY_MS: f64 = 60_000.0;
-/// An engine as the placer plans it.
+/// An engine in the placer's model.
 #[derive(Clone, Debug)]
 pub struct Engine {
     /// The endpoint's id.
     pub id: String,
-    /// When it started. What was known of an earlier start does not hold of it.
+    /// When its process started, in milliseconds since the epoch. State from an earlier start does
+    /// not apply to it.
     pub started_at_ms: u64,
-    /// A hash of the id, from which the order of equal engines comes.
+    /// A hash of the id, which breaks ties between engines of equal cost.
     hash: u64,
     /// Its service.
     pub service: String,
@@ -40,22 +42,22 @@
     pub version: String,
     /// The region of its data hall.
     pub region: String,
-    /// Its place in the order of [`order_of`] its id.
+    /// Its position in a roll-out, from [`order_of`] its id.
     order: u32,
-    /// What was sent to it, and how fast it reads.
+    /// The requests sent to it, and its learned reading rate.
     pub model: EngineModel,
-    /// What it is to read.
+    /// The prompts that it has still to read at its paced rate.
     pub queue: Queue,
-    /// Milliseconds to copy the memory of one token from another engine; none
-    /// where engines cannot.
+    /// Milliseconds to copy the memory (KV cache) of one token from another engine; `None` if the
+    /// engine cannot copy.
     pub copy_ms_per_token: Option<f64>,
     /// Whether it is registered as ready.
     pub is_ready: bool,
     /// Whether a router found another endpoint at its address.
     pub is_replaced: bool,
-    /// How much it may be sent while it is cold.
+    /// Limits the requests sent to it while it is cold.
     pub cold_limit: ColdLimit,
-    /// Which routers it asked for rest.
+    /// The rests that it requested, by router.
     pub rests: RouterRests,
 }
 
@@ -84,17 +86,17 @@
         }
     }
 
-    /// What of it decides whether it is eligible.
+    /// The properties that decide whether a request is eligible for it.
     pub fn candidate(&self) -> Candidate<'_> {
         Candidate { region: &self.region, version: &self.version, order: self.order }
     }
 
-    /// Whether it may get requests at all.
+    /// Whether it may be sent requests at all.
     pub fn takes_work(&self) -> bool {
         self.is_ready && !self.is_replaced
     }
 
-    /// Whether a router's requests should go elsewhere.
+    /// Whether other engines are preferred for requests of a router.
     pub fn should_avoid(&self, now: Millis, router: HostId) -> bool {
         !self.takes_work()
             || self.model.is_excluded(now)
@@ -103,71 +105,71 @@
     }
 }
 
-/// What reading a prompt costs at an engine.
+/// Cost of reading a prompt at an engine.
 #[derive(Clone, Copy, Debug)]
 struct ReadingCost {
     copy: Option<PartCopy>,
     copy_ms: f64,
     units: f64,
     read_ms: f64,
-    /// The longest pause that reading it makes, in milliseconds.
+    /// The longest pause that reading it causes for streams there, in milliseconds.
     pause_ms: f64,
 }
 
-/// An engine for a request, and what it would cost there.
+/// An engine for a request, and the request's cost there.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
     /// The engine.
     pub engine: EngineNumber,
-    /// What it should copy.
+    /// The prompt parts that it should copy from another engine.
     pub copy: Option<PartCopy>,
-    /// The place in its queue.
+    /// The position in its queue.
     pub position: Position,
     /// The cost of reading the prompt, in tokens of an empty context.
     pub units: f64,
-    /// Milliseconds of others' prompts that it may wait for.
+    /// The longest time that the request may wait for other prompts, in milliseconds.
     pub allowed_ms: f64,
-    /// Milliseconds to read its own.
+    /// Milliseconds to read its own prompt, including a copy and the round trip to another region.
     pub own_ms: f64,
-    /// The longest pause that reading it makes for streams there, in milliseconds.
+    /// The longest pause that reading it causes for streams there, in milliseconds.
     pub pause_ms: f64,
-    /// The latest start that lets it be in time, in milliseconds of the clock.
+    /// The latest start that meets the objective, in milliseconds on the placer's clock.
     pub latest_start: f64,
 }
 
 impl Choice {
-    /// Whether it need not wait for longer than it may.
+    /// Whether its expected wait is within the allowed wait.
     pub fn is_allowed(&self) -> bool {
         self.position.wait_ms <= self.allowed_ms
     }
 }
 
-/// How an engine compares with others; the least comes first. Equal ones go by
-/// [`Chooser::rank`].
+/// Sort key of an engine, lowest first: to be avoided, without room, score in milliseconds. Ties
+/// are broken by [`Chooser::tie_rank`].
 type SortKey = (bool, bool, f64);
 
-/// What choices are made from.
+/// The state from which an engine is chosen for one request.
 pub struct Chooser<'a> {
-    /// What to aim at.
+    /// The settings of the placer.
     pub rules: &'a PlacementRules,
     /// All engines.
     pub engines: &'a Slab<Engine>,
-    /// What each keeps of the request's prompt, by its number.
+    /// The tokens of the request's prompt that each engine keeps, by engine number.
     pub found: &'a [Match],
-    /// The router that asks.
+    /// The router that sent the request.
     pub router: HostId,
-    /// The region of the router that asks; empty where it is not known.
+    /// The region of that router; empty if it is not known.
     pub from_region: &'a str,
-    /// Units of long prompts that engines of the service read in a millisecond.
+    /// The rate at which engines of the service read long prompts, in units per millisecond.
     pub long_rate: f64,
     /// Milliseconds on the placer's clock.
     pub now: Millis,
 }
 
 impl Chooser<'_> {
-    /// The engine at which the request's first event comes first, with the reading of
-    /// its own prompt counted dearer: all that waits there counts, not only what goes
-    /// before it.
+    /// The engine with the earliest expected first event. Reading the request's own prompt is
+    /// weighted above waiting, and everything queued at the engine counts, not only the prompts
+    /// before the request's position.
     pub fn best(&self, request: &PlacementRequest) -> Option<EngineNumber> {
         let tokens = memory_tokens(&request.parts, request.prompt_tokens, request.output_tokens);
         let sources = self.copy_sources(request);
@@ -198,8 +200,8 @@
         best.map(|(_, number)| number)
     }
 
-    /// Milliseconds until an engine may be sent more, where all that the request could
-    /// go to are cold and have been sent what they bear; none where there is no engine.
+    /// Milliseconds until an engine may be sent another request, if all candidates are cold and
+    /// have been sent what they can handle; `None` if there is no candidate.
     pub fn until_cold_engine_is_free(&self, request: &PlacementRequest) -> Option<Millis> {
         let engines = self.engines.iter().map(|(_, engine)| engine);
         let candidates = engines.filter(|engine| self.is_candidate(engine, request));
@@ -207,15 +209,15 @@
         free.min().map(|at| at.saturating_sub(self.now))
     }
 
-    /// Where equal choices go: the same for every placer, so that a new one finds
-    /// kept parts where the one before left them.
+    /// Breaks ties between engines. Every placer computes the same order, so a new placer chooses
+    /// the engines that already keep the parts.
     fn tie_rank(&self, request: &PlacementRequest, number: EngineNumber) -> u64 {
         let affinity = request.parts.first().map_or(0, |part| part.0);
         let hash = self.engines.get(number).map_or(0, |engine| engine.hash);
         xxh3_64(&(affinity ^ hash).to_be_bytes())
     }
 
-    /// What a request would cost at an engine whose queue was advanced to now.
+    /// The cost of a request at an engine whose queue was advanced to `now`.
     pub fn evaluate(
         &self,
         number: EngineNumber,
@@ -229,7 +231,7 @@
         let own_ms = read_ms + copy_ms + self.region_round_trip_ms(engine);
         let start_within_ms = self.start_within_ms(request, own_ms);
         let latest_start = match usage.is_above() {
-            // What a customer gets beyond what it is owed delays no other.
+            // Service beyond a customer's share must not delay other customers.
             true => now + start_within_ms + ABOVE_SHARE_DELAY_MS,
             false => now + start_within_ms,
         };
@@ -266,15 +268,15 @@
         ReadingCost { copy, copy_ms, units, read_ms: units / engine.model.rate(), pause_ms }
     }
 
-    /// Milliseconds after which a request should begin to be read. One that cannot
-    /// be in time at all need not be the first.
+    /// Milliseconds within which reading should begin to meet the objective. A request that cannot
+    /// meet it at all does not have to be the first.
     fn start_within_ms(&self, request: &PlacementRequest, own_ms: f64) -> f64 {
         let objective = f64::from(request.objective_ms);
         let left = objective - own_ms - FIRST_EVENT_OVERHEAD_MS - self.rules.margin_ms;
         left.max(objective * self.rules.never_in_time_wait)
     }
 
-    /// Milliseconds of others' prompts that a request may wait for.
+    /// The longest time that a request may wait for other prompts, in milliseconds.
     fn allowed_ms(
         &self,
         request: &PlacementRequest,
@@ -293,7 +295,7 @@
         }
     }
 
-    /// What an engine in another region counts dearer, in milliseconds of waiting.
+    /// Extra cost of an engine in another region, in milliseconds of waiting.
     fn region_cost_ms(&self, engine: &Engine) -> f64 {
         match are_apart(self.from_region, &engine.region) {
             true => self.rules.other_region_cost_ms,
@@ -301,7 +303,7 @@
         }
     }
 
-    /// Milliseconds on the way to an engine and back, beyond those within a region.
+    /// Milliseconds of the round trip to an engine, beyond those within a region.
     fn region_round_trip_ms(&self, engine: &Engine) -> f64 {
         match are_apart(self.from_region, &engine.region) {
             true => self.rules.other_region_round_trip_ms,
@@ -309,7 +311,7 @@
         }
     }
 
-    /// Whether a request could go to an engine at all.
+    /// Whether an engine may be sent the request at all.
     fn is_candidate(&self, engine: &Engine, request: &PlacementRequest) -> bool {
         engine.takes_work()
             && engine.service == request.service
@@ -318,15 +320,15 @@
             && !request.avoid.contains(&engine.id)
     }
 
-    /// From which engines parts of the prompt can be copied.
+    /// The engines from which parts of the prompt can be copied.
     fn copy_sources(&self, request: &PlacementRequest) -> CopySources<'_> {
         let between_regions = self.rules.copies_between_regions;
         CopySources::find(self.now, self.engines, self.found, request, between_regions)
     }
 }
 
-/// Memory that a request takes until it ends, in tokens, beside the parts of its
-/// prompt that others use too: all but the last.
+/// Memory that a request occupies until it ends, in tokens, without the parts of its prompt that
+/// other requests share: all but the last.
 pub fn memory_tokens(parts: &[(u64, u32)], prompt_tokens: u32, output_tokens: u32) -> u64 {
     let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
     let shared: u32 = shared.iter().map(|(_, tokens)| *tokens).sum();
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -1,4 +1,4 @@
-//! The placers that a router asks.
+//! A router's client of the placers on control hosts.
 
 mod reservation;
 mod session;
@@ -25,27 +25,27 @@
 
 use crate::wire::{HostId, Role};
 
-/// How long a placer may take to answer.
+/// Time that a placer has to answer, without event loop lag.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// How often the lag of the event loop is added to that.
+/// Multiple of the event loop's lag that is added to the answer timeout.
 const LAG_MULTIPLIER: u32 = 4;
-/// Lag of the event loop from which on silence says nothing about a placer.
+/// Lag of the event loop from which on a missed answer is not counted against the placer.
 const UNRELIABLE_LAG: Duration = Duration::from_millis(10);
-/// Answers in a row that may fail to come before a placer is passed over.
+/// Consecutive missed answers after which a placer is suspended.
 const MISSED_ANSWERS_TO_SUSPEND: u32 = 2;
-/// Placers that are asked before a router decides for itself.
+/// Placers that are asked before a router decides by itself.
 const MAX_PLACERS_ASKED: usize = 2;
-/// How long a silent placer is passed over.
+/// How long a placer that does not answer is suspended.
 const SUSPENSION: Duration = Duration::from_millis(700);
 
-/// What a placer decided.
+/// The result of placing a request.
 #[derive(Debug)]
 pub enum PlacementOutcome {
-    /// Go to the reserved endpoint.
+    /// The request goes to the reserved endpoint.
     Reserved(Reservation),
-    /// It cannot be served in time.
+    /// No engine can meet the request's objective.
     Refused(Refusal),
-    /// No placer answers, or none knows an engine: choose alone.
+    /// No placer answers or has an engine of the service; the router chooses by itself.
     Undecided,
 }
 
@@ -60,7 +60,7 @@
     suspended_until: tokio::time::Instant,
 }
 
-/// The placers in view.
+/// Sessions with the placers of all control hosts in view.
 #[derive(Debug)]
 pub struct PlacementClient {
     peers: Arc<Peers>,
@@ -69,7 +69,7 @@
     local: Arc<LocalPlacer>,
     placers: Mutex<BTreeMap<HostId, PlacerPeer>>,
     records: Mutex<PlacementRecords>,
-    /// The placer asked last, which knows all that this router knows.
+    /// The placer asked last, which has received all of this router's state.
     synced_host: Mutex<Option<HostId>>,
     next_seq: AtomicU64,
     lag: LoopLag,
@@ -107,9 +107,9 @@
         client
     }
 
-    /// Asks where a request goes: the leader's host, so that one decides for
-    /// all; out of its reach another one, first of the same data hall; and this
-    /// router's own placer where none answers.
+    /// Places a request. Asks the leader's host, so that one placer decides for all routers; if it
+    /// cannot be reached, another control host, preferring this data hall; and if none answers,
+    /// this router's own placer.
     pub async fn place(self: &Arc<Self>, mut request: PlacementRequest) -> PlacementOutcome {
         let started = tokio::time::Instant::now();
         let objective_ms = request.objective_ms;
@@ -155,8 +155,8 @@
         }
     }
 
-    /// An engine asked this router for so many milliseconds of rest: the placer that is
-    /// asked must know, and any that is asked later.
+    /// Records that an engine requested a rest of `time` milliseconds from this router, and reports
+    /// it to the current placer. Placers asked later get it with the snapshot.
     pub fn record_rest(&self, at: EndpointStartRef<'_>, time: Millis) {
         lock(&self.records).record_rest(self.peers.clock.now(), at, time);
         let mut recipients = vec![PlacerId::Local];
@@ -166,8 +166,8 @@
         self.notify(&recipients, &ToPlacer::Rest(rest));
     }
 
-    /// Passes on what became of an open request. A session that has closed has
-    /// given everything back.
+    /// Sends an update of an open request to the placers that have it. A placer drops all requests
+    /// of a session that closes.
     fn notify(&self, recipients: &[PlacerId], message: &ToPlacer) {
         for recipient in recipients {
             match recipient {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Tells a placer that was not asked last what this router knows.
+    /// Sends a snapshot of this router's state to a placer that was not the last one asked.
     fn sync(&self, host: HostId, session: &Session) {
         let mut synced_host = lock(&self.synced_host);
         if synced_host.replace(host) != Some(host) {
@@ -201,7 +201,7 @@
     ) -> Option<FromPlacer> {
         self.sync(host, session);
         let mut query = Query::ask(session, request)?;
-        // A router that is behind its own work takes longer to see an answer.
+        // A router with a lagging event loop takes longer to receive an answer.
         let lag = self.lag.get();
         let timeout = ANSWER_TIMEOUT + lag * LAG_MULTIPLIER;
         match tokio::time::timeout(timeout, &mut query.answer).await {
@@ -235,7 +235,8 @@
         preferred.min_by_key(|(rank, ..)| *rank).map(|(_, host, session)| (host, session))
     }
 
-    /// Opens sessions to control hosts that have come, and drops the others'.
+    /// Opens sessions to control hosts that joined the view, and closes those to hosts that left
+    /// it.
     fn adopt_view(self: &Arc<Self>, view: &View) {
         let controls: BTreeMap<_, _> = view.with_role(Role::Control).map(|m| (m.host, m)).collect();
         let mut placers = lock(&self.placers);
@@ -267,15 +268,15 @@
         }
     }
 
-    /// A question was not answered in time, for whatever reason. Nothing answered for long
-    /// says that the connection is dead, also on a router that is behind its own work.
+    /// Records that a query timed out, also while this router itself lags. A long run without any
+    /// answer means that the connection is dead, and the session is ended.
     fn record_timeout(&self, host: HostId) {
         let now = self.peers.clock.now();
         let mut placers = lock(&self.placers);
         if let Some(placer) = placers.get_mut(&host)
             && placer.unanswered.record_timeout(now)
         {
-            log::info!("placement: control host {host} answers nothing, its session ends");
+            log::info!("placement: control host {host} does not answer, closing its session");
             placer.end_session();
         }
     }
@@ -287,16 +288,16 @@
             let is_suspended = placer.suspended_until > now;
             if placer.missed_answers >= MISSED_ANSWERS_TO_SUSPEND && !is_suspended {
                 placer.suspended_until = now + SUSPENSION;
-                // What waits there is asked elsewhere at once.
+                // Requests that wait there are sent to another placer at once.
                 if let Some(session) = &placer.session {
                     lock(&session.waiting).clear();
                 }
-                log::info!("placement: control host {host} is silent, passed over");
+                log::info!("placement: control host {host} misses answers, suspended");
             }
         }
     }
 
-    /// Opens the session with a control host anew.
+    /// Ends the session with a control host, so that a new one is opened.
     fn end_session(&self, host: HostId) {
         if let Some(placer) = lock(&self.placers).get(&host) {
             placer.end_session();
@@ -309,7 +310,7 @@
             placer.missed_answers = 0;
             placer.unanswered = Unanswered::default();
         }
-        // A new session starts from nothing.
+        // A new session has no state of this router.
         let mut synced_host = lock(&self.synced_host);
         if *synced_host == Some(host) {
             *synced_host = None;
@@ -333,7 +334,7 @@
                     return;
                 }
             }
-            // What is missed shows when the placer is asked.
+            // A missed notification shows up as a timeout when the placer is next asked.
             Ok(host) = silent.recv() => client.end_session(host),
         }
     }
--- a/src/placement/client/reservation.rs
+++ b/src/placement/client/reservation.rs
@@ -1,11 +1,11 @@
-//! Places at endpoints, as requests hold them.
+//! Reservations of endpoints that requests hold.
 
 use std::sync::Arc;
 
 use super::{PlacementClient, lock};
 use crate::placement::message::{Completion, ToPlacer};
 
-/// A place at an endpoint, given back when dropped.
+/// A place reserved at an endpoint, released when dropped.
 #[derive(Debug)]
 pub struct Reservation {
     /// The endpoint's id.
@@ -19,7 +19,7 @@
 }
 
 impl Reservation {
-    /// The first event came.
+    /// Reports the first event of the answer to the placers.
     pub fn record_first_event(&mut self) {
         if !std::mem::replace(&mut self.first_event_reported, true) {
             let placers = lock(&self.client.records).record_first_event(self.seq);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Says how the request ended; otherwise it counts as abandoned.
+    /// Sets how the request completed; without a call it counts as abandoned.
     pub fn set_completion(&mut self, completion: Completion) {
         self.completion = completion;
     }
--- a/src/placement/client/session.rs
+++ b/src/placement/client/session.rs
@@ -1,4 +1,4 @@
-//! One session with a placer, and the questions that it answers.
+//! A session with a placer, and the queries pending on it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::placement::message::{Completion, FromPlacer, PlacementRequest, ToPlacer};
 use crate::wire::{BatchSender, BatchWriter, HostId, Open, Traffic};
 
-/// How long to wait before a lost session is opened again.
+/// How long to wait before reopening a lost session.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 pub(super) type Waiting = Arc<Mutex<HashMap<u64, oneshot::Sender<FromPlacer>>>>;
@@ -24,12 +24,12 @@
 pub(super) struct Session {
     pub out: BatchSender<ToPlacer>,
     pub waiting: Waiting,
-    /// Ends it, so that another one is opened.
+    /// Cancelled to end the session, so that another one is opened.
     pub cancel: CancellationToken,
 }
 
-/// A request that a placer was asked to place. Dropped before it is answered, it
-/// is taken back: a place that comes later would be held for nobody.
+/// A query for the placement of a request. If it is dropped before the answer arrives, the request
+/// is withdrawn; otherwise a late placement would stay reserved without a user.
 pub(super) struct Query<'a> {
     session: &'a Session,
     seq: u64,
@@ -38,7 +38,7 @@
 }
 
 impl Query<'_> {
-    /// Asks; none where the session has closed.
+    /// Sends the query; `None` if the session has closed.
     pub fn ask(session: &Session, request: PlacementRequest) -> Option<Query<'_>> {
         let seq = request.seq;
         let (sender, answer) = oneshot::channel();
@@ -54,13 +54,13 @@
         lock(&self.session.waiting).remove(&self.seq);
         if self.is_open {
             let done = ToPlacer::Done { seq: self.seq, completion: Completion::Abandoned };
-            // A session that has closed has given everything back.
+            // A placer drops all requests of a session that closes.
             let _ = self.session.out.send(done.into());
         }
     }
 }
 
-/// Opens sessions with a placer one after the other.
+/// Keeps a session with a placer open, reconnecting after each loss.
 pub(super) async fn maintain_session(
     client: Arc<PlacementClient>,
     host: HostId,
@@ -68,7 +68,7 @@
 ) {
     loop {
         if let Err(error) = run_session(&client, host, address).await {
-            log::info!("placement: lost control host {host}: {error}");
+            log::info!("placement: lost session with control host {host}: {error}");
         }
         client.set_session(host, None);
         tokio::time::sleep(RECONNECT_DELAY).await;
@@ -102,7 +102,8 @@
     Err(error)
 }
 
-/// What waits for answers of a session learns when it ends, however it ends.
+/// Drops the senders of all pending queries when a session ends for any reason, so that their
+/// receivers return at once.
 struct ClearOnDrop(Waiting);
 
 impl Drop for ClearOnDrop {
@@ -114,7 +115,7 @@
 fn deliver(waiting: &Waiting, answers: Vec<FromPlacer>) {
     for answer in answers {
         if let Some(sender) = lock(waiting).remove(&answer.seq()) {
-            // The request may have been given up.
+            // The query may have been dropped.
             let _ = sender.send(answer);
         }
     }
--- a/src/placement/message.rs
+++ b/src/placement/message.rs
@@ -4,117 +4,121 @@
 
 use crate::eligibility::Eligibility;
 
-/// Ids and lengths of a prompt's parts, in order, in tokens.
+/// Ids and lengths in tokens of a prompt's parts, in order.
 pub type PromptParts = Vec<(u64, u32)>;
 
-/// A request that wants an engine.
+/// A request for an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRequest {
     /// Number of the request, unique within the router's session.
     pub seq: u64,
     /// The service.
     pub service: String,
-    /// Whose it is; empty where customers are not told apart.
+    /// The customer; empty if customers are not distinguished.
     pub customer: String,
     /// The prompt's parts.
     pub parts: PromptParts,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of output.
+    /// Maximum output length in tokens.
     pub output_tokens: u32,
-    /// Milliseconds in which its first event is in time, from now on.
+    /// Milliseconds from now within which its first event must arrive.
     pub objective_ms: u32,
-    /// Longest pause between events that is in time, in milliseconds; 0 for none.
+    /// Longest allowed pause between events in milliseconds; 0 for no limit.
     pub pause_objective_ms: u32,
-    /// The data hall of the router that asks.
+    /// The data hall of the router.
     pub hall: String,
-    /// Endpoints that it may go to.
+    /// Endpoints that may run it.
     pub eligibility: Eligibility,
-    /// Endpoints that it must not go to.
+    /// Ids of endpoints that it must not be sent to.
     pub avoid: Vec<String>,
-    /// Whether it was asked for a moment ago with other endpoints, and counts as asked.
+    /// Whether its customer's demand was already recorded by an earlier attempt with other
+    /// endpoints.
     pub demand_recorded: bool,
-    /// Whether it is rather asked for with other endpoints than queued where none has room.
+    /// Whether the router prefers to retry with other endpoints over queueing where no engine has
+    /// room.
     pub has_alternative: bool,
 }
 
-/// How a placed request ended.
+/// How a placed request completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Completion {
     /// The endpoint answered it.
     Served,
-    /// The endpoint could not be reached, failed or broke off.
+    /// The endpoint could not be reached, failed, or its answer ended early.
     Failed,
-    /// Another endpoint answers at its address: it is gone for good.
+    /// Another endpoint answers at its address; this one no longer exists.
     Replaced,
-    /// Its caller left, or it was sent elsewhere.
+    /// The caller left, or the request was sent to another endpoint.
     Abandoned,
 }
 
 /// A placed request that has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRequest {
-    /// Number of the request, unique within the router's life.
+    /// Number of the request, unique within one run of the router's process.
     pub seq: u64,
-    /// Where it was placed.
+    /// The id of the endpoint that it was placed at.
     pub endpoint: String,
-    /// The start of the endpoint that it was placed at.
+    /// When that endpoint's process started, in milliseconds since the epoch.
     pub started_at_ms: u64,
     /// The prompt's parts.
     pub parts: PromptParts,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of output.
+    /// Maximum output length in tokens.
     pub output_tokens: u32,
-    /// Longest pause between events that is in time, in milliseconds; 0 for none.
+    /// Longest allowed pause between events in milliseconds; 0 for no limit.
     pub pause_objective_ms: u32,
-    /// Whether its first event has come.
+    /// Whether its first event has arrived.
     pub first_event_seen: bool,
 }
 
 /// Leading prompt parts that an endpoint has read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptParts {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: String,
-    /// The start of the endpoint that read them; a later one keeps nothing of them.
+    /// When its process started, in milliseconds since the epoch; a later start keeps none of the
+    /// parts.
     pub started_at_ms: u64,
     /// The parts.
     pub parts: PromptParts,
 }
 
-/// A rest that an engine asked a router for.
+/// A rest that an engine requested from a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestReport {
-    /// The endpoint.
+    /// The endpoint's id.
     pub endpoint: String,
-    /// The start of the endpoint that asked; a later one asked nothing.
+    /// When its process started, in milliseconds since the epoch; the rest does not apply to a
+    /// later start.
     pub started_at_ms: u64,
-    /// Milliseconds that are left of it.
+    /// Milliseconds left of the rest.
     pub time_ms: u32,
 }
 
-/// What a router knows from placements that others decided.
+/// The state that a router sends to a placer about placements decided by others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterSnapshot {
     /// Its requests that have not ended.
     pub open: Vec<OpenRequest>,
-    /// What endpoints read, used last at the end.
+    /// Prompt parts that endpoints have read, the most recently used last.
     pub kept: Vec<KeptParts>,
-    /// Engines that it lets rest.
+    /// Engines whose requested rests have not ended.
     pub rests: Vec<RestReport>,
 }
 
-/// What a router tells a placer.
+/// A message from a router to a placer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToPlacer {
-    /// What earlier placements left, before the first request.
+    /// State left by earlier placements; sent before the first request.
     Snapshot(RouterSnapshot),
-    /// An engine asked the router for rest.
+    /// An engine requested a rest from the router.
     Rest(RestReport),
-    /// A request wants an engine.
+    /// A request needs an engine.
     Place(PlacementRequest),
-    /// The first event of a placed request came.
+    /// The first event of a placed request arrived.
     FirstEvent {
         /// The request's number.
         seq: u64,
@@ -123,27 +127,27 @@
     Done {
         /// The request's number.
         seq: u64,
-        /// How.
+        /// How it completed.
         completion: Completion,
     },
 }
 
-/// Why a request cannot be served in time.
+/// Why a request cannot meet its objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Milliseconds after which another try would be in time.
+    /// Milliseconds after which a retry would meet it.
     pub retry_after_ms: u32,
-    /// Milliseconds of prompts to be read first at the best engine.
+    /// Milliseconds of prompts to read first at the best engine.
     pub backlog_ms: u32,
-    /// Milliseconds of them that the request may wait for.
+    /// Longest time in milliseconds that the request may wait for them.
     pub allowed_ms: u32,
     /// Milliseconds to read its own prompt there.
     pub own_ms: u32,
-    /// What its customer was served over its share, in hundredths.
+    /// Its customer's received service divided by its share, in hundredths.
     pub share_percent: u32,
 }
 
-/// What a placer tells a router.
+/// A message from a placer to a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromPlacer {
     /// The request goes to this endpoint.
@@ -152,19 +156,20 @@
         seq: u64,
         /// The endpoint's id.
         endpoint: String,
-        /// When the endpoint started, as the placer knows it.
+        /// When the endpoint's process started according to the placer, in milliseconds since the
+        /// epoch.
         started_at_ms: u64,
         /// The id of an endpoint from which it should copy prompt parts.
         copy_from: Option<String>,
     },
-    /// It cannot be served in time.
+    /// The request cannot meet its objective.
     Refuse {
         /// The request's number.
         seq: u64,
-        /// When to come back, and what decided it.
+        /// The retry delay and the values that it is based on.
         refusal: Refusal,
     },
-    /// No engine of the service is known here.
+    /// The placer has no engine of the service.
     Unknown {
         /// The request's number.
         seq: u64,
@@ -172,7 +177,7 @@
 }
 
 impl FromPlacer {
-    /// The number of the request that it is about.
+    /// The number of the request that the message answers.
     pub fn seq(&self) -> u64 {
         match self {
             FromPlacer::Go { seq, .. }
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -1,4 +1,4 @@
-//! The placer of a fleet, as a state machine without I/O.
+//! The fleet's placer as a state machine without I/O.
 
 use std::collections::HashMap;
 
@@ -21,37 +21,37 @@
 use crate::dispatch::Millis;
 use crate::wire::HostId;
 
-/// Shortest and longest time to come back after, in milliseconds.
+/// Shortest and longest retry delay of a refusal, in milliseconds.
 const RETRY_MS: (f64, f64) = (60.0, 3_000.0);
-/// Weight of what was learnt before of a service, at each new observation: some 200
-/// prompts are remembered, so that one slow engine moves little.
+/// Weight of the earlier observations of a service's reading rate at each new one: an average over
+/// some 200 prompts, so that one slow engine changes it little.
 const RATE_DECAY: f64 = 0.995;
-/// Part by which a service's rate must move before its engines are told.
+/// Relative change of a service's reading rate from which on it is applied to the engines.
 const MIN_RATE_CHANGE: f64 = 0.05;
 
-/// An answer to a router, with what decided it.
+/// An answer to a router, with the values that it is based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
     /// The router.
     pub router: HostId,
-    /// What it is told.
+    /// The answer.
     pub answer: FromPlacer,
     /// Milliseconds of prompts to read before this one, at the best engine.
     pub backlog_ms: f64,
     /// Milliseconds to read its own prompt there.
     pub own_ms: f64,
-    /// The customer's service received over its share.
+    /// The customer's received service divided by its share.
     pub ratio: f64,
 }
 
-/// Decides for all routers where requests go.
+/// Places the requests of all routers.
 #[derive(Clone, Debug, Default)]
 pub struct Placer {
     rules: PlacementRules,
     engines: Slab<Engine>,
     numbers: HashMap<String, EngineNumber>,
     parts: PartIndex,
-    /// What each engine keeps of the prompt that is being placed, by its number.
+    /// The tokens of the prompt being placed that each engine keeps, by engine number.
     found: Vec<Match>,
     placed: HashMap<RequestKey, EngineNumber>,
     shares: Shares,
@@ -63,19 +63,19 @@
 #[derive(Clone, Copy, Debug)]
 struct ServiceRates {
     overall: ReadingRate,
-    /// The rate that its engines start from.
+    /// The initial rate last given to its engines, in units per millisecond.
     applied: f64,
-    /// How fast long prompts are read.
+    /// The rate at which long prompts are read.
     long: ReadingRate,
 }
 
 impl Placer {
-    /// A placer that knows no engine yet.
+    /// A placer without engines.
     pub fn new(rules: PlacementRules) -> Placer {
         Placer { rules, ..Placer::default() }
     }
 
-    /// What to aim at from now on.
+    /// Replaces the settings.
     pub fn set_rules(&mut self, rules: PlacementRules) {
         self.rules = rules;
         for (_, engine) in &mut self.engines {
@@ -83,12 +83,12 @@
         }
     }
 
-    /// What lies between data halls.
+    /// Sets the regions of data halls.
     pub fn set_hall_regions(&mut self, hall_regions: HallRegions) {
         self.hall_regions = hall_regions;
     }
 
-    /// The engines that take work now. Others keep what was sent to them.
+    /// Sets the engines that accept requests now. Others keep the requests already sent to them.
     pub fn set_engines(&mut self, now: Millis, engines: Vec<EngineInfo>) {
         for (_, engine) in &mut self.engines {
             engine.is_ready = false;
@@ -131,8 +131,9 @@
         self.found.resize(len, Match::default());
     }
 
-    /// Forgets an engine that has started again: what was sent to the earlier start has
-    /// ended, and the new one keeps nothing. Returns how warm the earlier start was.
+    /// Removes an engine that has restarted: the requests sent to the earlier start have ended, and
+    /// the new process keeps no prompt parts. Returns the requests recently sent to the earlier
+    /// start, as its cold limit.
     fn remove_earlier_start(&mut self, info: &EngineInfo) -> Option<ColdLimit> {
         let number = *self.numbers.get(&info.id)?;
         if self.engines[number].started_at_ms == info.started_at_ms {
@@ -145,24 +146,24 @@
         Some(earlier.cold_limit)
     }
 
-    /// The number of an engine that has not started again since `started_at_ms`.
+    /// The number of an engine that has not restarted since `started_at_ms`.
     fn number_of(&self, endpoint: &str, started_at_ms: u64) -> Option<EngineNumber> {
         let number = *self.numbers.get(endpoint)?;
         (self.engines[number].started_at_ms == started_at_ms).then_some(number)
     }
 
-    /// Part of what cold engines bear that this placer may send them from now on.
+    /// Sets the fraction of cold engines' capacity that this placer may use.
     pub fn set_cold_part(&mut self, part: f64) {
         self.rules.cold_part = part;
     }
 
-    /// What all engines are meant to do in a second, in units of service; 0 where that
-    /// is not known.
+    /// Sets the nominal capacity of all engines in units of service per second; 0 if it is not
+    /// known.
     pub fn set_nominal(&mut self, units_per_second: u64) {
         self.shares.set_nominal(units_per_second);
     }
 
-    /// Takes a message from a router.
+    /// Applies a message from a router.
     pub fn receive(&mut self, now: Millis, router: HostId, message: ToPlacer) -> Option<Decision> {
         match message {
             ToPlacer::Snapshot(snapshot) => self.apply_snapshot(now, router, snapshot),
@@ -176,7 +177,7 @@
         None
     }
 
-    /// A router is gone, and all its requests with it.
+    /// Removes a router and all its requests.
     pub fn remove_router(&mut self, now: Millis, router: HostId) {
         self.placed.retain(|key, _| key.0 != router);
         for (_, engine) in &mut self.engines {
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Takes in what a router knows from placements that others decided.
+    /// Applies the state that a router sends about placements decided by other placers.
     fn apply_snapshot(&mut self, now: Millis, router: HostId, snapshot: RouterSnapshot) {
         for kept in &snapshot.kept {
             if let Some(number) = self.number_of(&kept.endpoint, kept.started_at_ms) {
@@ -217,14 +218,14 @@
         }
     }
 
-    /// An engine wants nothing from a router for a while.
+    /// Records that an engine requested a rest from a router.
     fn record_rest(&mut self, now: Millis, router: HostId, rest: &RestReport) {
         if let Some(number) = self.number_of(&rest.endpoint, rest.started_at_ms) {
             self.engines[number].rests.record_rest(now, router, rest.time_ms.into());
         }
     }
 
-    /// An engine has read the parts, or is about to.
+    /// Records that an engine has read the parts or is about to read them.
     fn touch_parts(&mut self, number: EngineNumber, parts: &[(u64, u32)]) {
         let capacity = self.engines[number].model.usable_memory();
         self.parts.touch(number, parts, capacity);
@@ -234,7 +235,7 @@
         let Some(number) = self.placed.get(&key).copied() else { return };
         let engine = &mut self.engines[number];
         engine.rests.record_served(now, key.0);
-        // What it has read by now was read at the pace known before.
+        // Prompts read until now were read at the pace known before this event.
         engine.queue.advance(now, engine.model.pace(now));
         let Some(first_event) = engine.model.record_first_event(now, key) else { return };
         self.parts.set_read(number, &first_event.parts);
@@ -244,10 +245,11 @@
         }
     }
 
-    /// What one engine of a service reads is the guess for those that have read little:
-    /// with thousands of engines most have. The nominal tokens of a fleet over the
-    /// number of its engines may be off by ten and more; then idle engines look slow and
-    /// requests are refused (226 of 250 in `tests/rate.rs` without this, none with it).
+    /// Updates the reading rate of a service, which is the initial rate of engines that have read
+    /// little; with thousands of engines that is most of them. The nominal tokens of a fleet
+    /// divided by the number of its engines may be off by a factor of ten and more. Idle engines
+    /// then look slow and requests are refused: 226 of 250 in `tests/rate.rs` without this update,
+    /// none with it.
     fn observe_rate(&mut self, service: &str, observed: Observation) {
         let Some(rates) = self.service_rates.get_mut(service) else { return };
         rates.overall.observe(observed.units, observed.ms);
@@ -264,7 +266,8 @@
         }
     }
 
-    /// The guess for an engine of a service, as learnt from the others.
+    /// The initial reading rate of an engine of a service, from the observations of its other
+    /// engines.
     fn initial_rate(&mut self, service: &str, nominal: f64) -> f64 {
         let rate = ReadingRate::new(nominal, RATE_DECAY);
         let new = || ServiceRates { overall: rate, applied: nominal, long: rate };
@@ -348,7 +351,7 @@
         Chooser { rules, engines, found, router, from_region, long_rate, now }
     }
 
-    /// A request goes to an engine.
+    /// Records that a request is sent to an engine.
     fn commit(&mut self, now: Millis, key: RequestKey, request: &PlacementRequest, to: &Choice) {
         let PlacementRequest { parts, prompt_tokens, output_tokens, .. } = request;
         let tokens = memory_tokens(parts, *prompt_tokens, *output_tokens);
@@ -379,7 +382,8 @@
     Decision { router: key.0, answer, backlog_ms, own_ms, ratio: usage.ratio }
 }
 
-/// All engines are cold and have been sent what they bear: when one may get more.
+/// Refuses a request because all candidates are cold and have been sent what they can handle; retry
+/// when one may be sent more.
 fn refuse_for_cold(seq: u64, wait_ms: Millis, usage: ShareUsage) -> FromPlacer {
     let (min, max) = RETRY_MS;
     let refusal = Refusal {
@@ -391,7 +395,7 @@
     FromPlacer::Refuse { seq, refusal }
 }
 
-/// Units of service: tokens read once, tokens made twice.
+/// Units of service: an input token counts one, an output token two.
 fn service_units(request: &PlacementRequest) -> u64 {
     u64::from(request.prompt_tokens) + 2 * u64::from(request.output_tokens)
 }
