--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -1,4 +1,4 @@
-//! A model of one engine: what it has still to read, and how fast it reads.
+//! Model of one engine: the prompts that it has still to read, and its reading rate.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,32 +10,31 @@
 use crate::dispatch::Millis;
 use crate::wire::HostId;
 
-/// Names a request: its router and its number there.
+/// Identifies a request: its router and its number there.
 pub type RequestKey = (HostId, u64);
 
-/// Context at which attention makes reading a token twice as dear, in tokens.
+/// Context length in tokens at which attention doubles the cost of reading a token.
 const ATTENTION_TOKENS: f64 = 60_000.0;
-/// Weight of what was learnt before, at each new observation.
+/// Weight of the earlier observations of the reading rate at each new one.
 const RATE_DECAY: f64 = 0.97;
-/// Weight of the newest observation in the lateness of an engine: five prompts are
-/// remembered. Chosen, not measured.
+/// Weight of the newest observation in an engine's lateness: an average over about five prompts.
 const LATENESS_WEIGHT: f64 = 0.2;
-/// Milliseconds in which the lateness of an engine halves by itself: within an
-/// objective it is tried again. Chosen; without it an engine once late stayed unused.
+/// Half-life of an engine's lateness in milliseconds, so that it is tried again within an
+/// objective. Without this decay an engine that was late once stayed unused.
 const LATENESS_HALF_LIFE_MS: f64 = 200.0;
-/// Less lateness than this counts as none, in milliseconds.
+/// Lateness in milliseconds below which it counts as none.
 const MIN_LATENESS_MS: f64 = 0.01;
-/// How far learning may move the reading rate from its start.
+/// Lowest and highest learned reading rate, as multiples of the initial rate.
 const RATE_RANGE: (f64, f64) = (0.4, 4.0);
-/// Part of the engine's memory that kept parts and running requests may fill.
+/// Fraction of the engine's memory that kept parts and running requests may fill.
 const USABLE_MEMORY: f64 = 0.92;
-/// Shortest and longest time for which a failing engine is left out.
+/// Shortest and longest time for which a failing engine is excluded, in milliseconds.
 const EXCLUSION_MS: (Millis, Millis) = (400, 5_000);
-/// Milliseconds within which requests may arrive in another order than they were
-/// sent in: the way through a router behind its work, or a copy of prompt parts.
-/// Routers refuse from 40 ms of lag on; three times that and a copy.
+/// Milliseconds by which a request may arrive at an engine before one that was sent earlier,
+/// because of a router's lagging event loop or a copy of prompt parts. Routers refuse requests from
+/// 40 ms of lag on; this is three times that plus a copy.
 const MAX_REORDERING_MS: Millis = 150;
-/// Failures in a row after which an engine is left out.
+/// Consecutive failures after which an engine is excluded.
 const FAILURES_TO_EXCLUDE: u32 = 2;
 
 #[derive(Clone, Debug)]
@@ -44,29 +43,29 @@
     parts: PromptParts,
     units: f64,
     since: Millis,
-    /// When its prompt should have been read, on the clock.
+    /// When its prompt should have been read, in milliseconds on the clock.
     read_by: f64,
 }
 
-/// How long an engine took to read a prompt.
+/// Time that an engine took to read a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
     /// The cost of reading it, in tokens of an empty context.
     pub units: f64,
-    /// Milliseconds that it took.
+    /// The time taken, in milliseconds.
     pub ms: f64,
 }
 
-/// What the first event of a request says.
+/// The result of a request's first event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FirstEvent {
     /// The prompt parts that were read.
     pub parts: PromptParts,
-    /// How long that took, where it is known.
+    /// How long reading them took, if known.
     pub observed: Option<Observation>,
 }
 
-/// One engine as a placer sees it.
+/// An engine as the placer models it.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     slots: u32,
@@ -79,27 +78,26 @@
     streams: Streams,
     reading_rate: ReadingRate,
     reading_share: f64,
-    /// When all that was sent should have been read, on the clock.
+    /// When all prompts sent to it should have been read, in milliseconds on the clock.
     read_until: f64,
     lateness_ms: f64,
     lateness_at: Millis,
-    /// What follows from the prompts to be read and the rate.
+    /// Times derived from the pending prompts and the rate.
     timing: Timing,
     rate: f64,
     failures: u32,
     excluded_until: Millis,
 }
 
-/// The cost of reading `uncached` tokens behind `cached` ones, in tokens of an
-/// empty context.
+/// The cost of reading `uncached` tokens behind `cached` ones, in tokens of an empty context.
 pub fn reading_units(cached: u32, uncached: u32) -> f64 {
     let context = f64::from(cached) + f64::from(uncached) / 2.0;
     f64::from(uncached) * (1.0 + context / ATTENTION_TOKENS)
 }
 
 impl EngineModel {
-    /// An idle engine that keeps nothing; `rate` is the guess of tokens read in a
-    /// millisecond, `reading_share` the part of its time that may go into it.
+    /// An idle engine with an empty cache. `rate` is the initial reading rate in tokens per
+    /// millisecond, `reading_share` the fraction of its time that may be spent on reading.
     pub fn new(slots: u32, memory_tokens: u64, rate: f64, reading_share: f64) -> EngineModel {
         EngineModel {
             slots,
@@ -122,46 +120,46 @@
         }
     }
 
-    /// Tokens in one event of its streams.
+    /// Sets the tokens in one event of its streams.
     pub fn set_tokens_per_event(&mut self, tokens: u32) {
         self.tokens_per_event = tokens.max(1);
     }
 
-    /// How it reads long prompts, so many units a millisecond in pieces of so many tokens.
+    /// How it reads long prompts: `rate` in units per millisecond, pieces of `piece_tokens` tokens.
     pub fn reading_profile(&self, rate: f64, piece_tokens: u32) -> ReadingProfile {
         ReadingProfile { rate, tokens_per_event: self.tokens_per_event, piece_tokens }
     }
 
-    /// Its streams whose pauses have been as promised.
+    /// Its streams without a pause longer than promised.
     pub fn streams(&self) -> &Streams {
         &self.streams
     }
 
-    /// A stream is placed here that was promised such pauses, beside a prompt that makes
-    /// one of `stretched_ms`.
+    /// Adds a stream that was promised pauses of at most `promised_ms`; reading its own prompt
+    /// causes a pause of `pause_ms` for the streams already here.
     pub fn add_stream(&mut self, key: RequestKey, promised_ms: u32, pause_ms: f64) {
         self.streams.record_pause(pause_ms);
         self.streams.add(key, promised_ms);
     }
 
-    /// The part of its time that may go into reading from now on.
+    /// Sets the fraction of its time that may be spent on reading from now on.
     pub fn set_reading_share(&mut self, share: f64) {
         self.reading_share = share;
     }
 
-    /// A better guess of the tokens read in a millisecond, from what other engines of
-    /// its service read.
+    /// Replaces the initial reading rate, in tokens per millisecond, by one learned from other
+    /// engines of its service.
     pub fn set_initial_rate(&mut self, rate: f64) {
         self.reading_rate.set_initial(rate);
         self.refresh();
     }
 
-    /// Tokens read in a millisecond, as learnt.
+    /// Tokens read per millisecond, as learned.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Works out what follows from the prompts to be read and from what was learnt.
+    /// Recomputes the rate and the times derived from it and from the pending prompts.
     fn refresh(&mut self) {
         let (low, high) = RATE_RANGE;
         let initial = self.reading_rate.initial();
@@ -170,12 +168,12 @@
         self.timing = Timing::new(self.head_since, self.rate, units);
     }
 
-    /// Milliseconds until all that was placed here has been read.
+    /// Milliseconds until all prompts placed here have been read.
     pub fn backlog_ms(&self, now: Millis) -> f64 {
         self.timing.backlog_ms(now)
     }
 
-    /// How fast it reads, and what it has still to read.
+    /// How fast it reads, and how much it has still to read.
     pub fn pace(&self, now: Millis) -> Pace {
         Pace {
             ms_per_unit: 1.0 / (self.rate() * self.reading_share),
@@ -184,7 +182,7 @@
         }
     }
 
-    /// Whether it can take one more request of this size.
+    /// Whether it has room for one more request of this size in tokens.
     pub fn has_room(&self, tokens: u64) -> bool {
         let requests = self.pending.len() + self.running.len();
         let memory = self.usable_memory();
@@ -192,22 +190,23 @@
         requests < self.slots as usize && fits
     }
 
-    /// Whether it is left out after failures.
+    /// Whether it is excluded after failures.
     pub fn is_excluded(&self, now: Millis) -> bool {
         now < self.excluded_until
     }
 
-    /// Whether the prompt that it reads takes so long that something is wrong.
+    /// Whether the prompt that it reads takes so long that the engine is assumed to be stalled.
     pub fn is_stalled(&self, now: Millis) -> bool {
         self.timing.is_stalled(now)
     }
 
-    /// Requests placed here that have not ended.
+    /// Number of requests placed here that have not ended.
     pub fn requests(&self) -> usize {
         self.running.len()
     }
 
-    /// A request of `units` is sent here.
+    /// Records a request sent here: `units` is the cost of reading its prompt, `tokens` the memory
+    /// that it occupies.
     pub fn record_sent(
         &mut self,
         now: Millis,
@@ -226,7 +225,7 @@
         self.add_running(key, tokens);
     }
 
-    /// A request runs here whose prompt has been read.
+    /// Records a running request that occupies `tokens` of memory.
     pub fn add_running(&mut self, key: RequestKey, tokens: u64) {
         self.running.insert(key, tokens);
         self.running_tokens += tokens;
@@ -237,7 +236,7 @@
         (self.memory_tokens as f64 * USABLE_MEMORY) as u64
     }
 
-    /// The first event of a request came.
+    /// Records the first event of a request.
     pub fn record_first_event(&mut self, now: Millis, key: RequestKey) -> Option<FirstEvent> {
         let at = self.pending.iter().position(|p| p.key == key)?;
         let started = self.pending.remove(at)?;
@@ -261,9 +260,9 @@
         Some(FirstEvent { parts: started.parts, observed })
     }
 
-    /// Engines read in the order of arrival: what was sent well before a request
-    /// that has begun has been read too, or never came. Its router may be cut off
-    /// and cannot say so.
+    /// Drops prompts that must have been read or lost. Engines read in the order of arrival, so a
+    /// prompt sent well before one that has been read was read as well or never arrived. Its router
+    /// may be cut off and unable to report it.
     fn drop_overtaken(&mut self, started: &Pending, at: usize) -> bool {
         let before = self.pending.len();
         let mut index = 0;
@@ -274,15 +273,16 @@
         self.pending.len() < before
     }
 
-    /// The engine has more to do than was sent from here, or is slower than thought.
+    /// Updates the lateness: the engine has more to read than was sent by this placer, or reads
+    /// more slowly than assumed.
     fn record_lateness(&mut self, now: Millis, late_ms: f64) {
         let before = self.lateness_ms(now);
         self.lateness_ms = before + (late_ms.max(0.0) - before) * LATENESS_WEIGHT;
         self.lateness_at = now;
     }
 
-    /// Milliseconds by which prompts are read later than planned. It fades: an
-    /// engine that gets nothing for it could not show that it is over.
+    /// Milliseconds by which prompts are read later than planned. Decays over time, because an
+    /// engine that is sent nothing could not show that it has recovered.
     fn lateness_ms(&self, now: Millis) -> f64 {
         if self.lateness_ms < MIN_LATENESS_MS {
             return 0.0;
@@ -291,14 +291,14 @@
         self.lateness_ms * 0.5_f64.powf(passed / LATENESS_HALF_LIFE_MS)
     }
 
-    /// The engine goes on to the next prompt, at `at` or when it was sent.
+    /// Moves the engine on to the next prompt, at `at` or at the time it was sent if that is later.
     fn start_head(&mut self, at: f64) {
         if let Some(head) = self.pending.front() {
             self.head_since = at.max(head.since as f64);
         }
     }
 
-    /// A request has ended, however.
+    /// Removes a request that has ended in any way.
     pub fn remove_request(&mut self, now: Millis, key: RequestKey) {
         if let Some(tokens) = self.running.remove(&key) {
             self.running_tokens -= tokens;
@@ -313,7 +313,7 @@
         }
     }
 
-    /// A request failed here.
+    /// Records the failure of a request here.
     pub fn record_failure(&mut self, now: Millis) {
         self.failures += 1;
         if self.failures >= FAILURES_TO_EXCLUDE {
@@ -323,7 +323,7 @@
         }
     }
 
-    /// All requests of a router are over.
+    /// Removes all requests of a router.
     pub fn remove_router(&mut self, now: Millis, router: HostId) {
         let keys: Vec<_> = self.running.keys().filter(|k| k.0 == router).copied().collect();
         for key in keys {
--- a/src/placement/rests.rs
+++ b/src/placement/rests.rs
@@ -1,4 +1,4 @@
-//! Engines that routers let rest, as the placer minds it.
+//! Rests that one engine requested from routers, as seen by the placer.
 
 use std::collections::HashMap;
 
@@ -6,28 +6,28 @@
 use crate::notice::Rest;
 use crate::wire::HostId;
 
-/// Routers that an engine asked for rest, from which on others should pass it by as well
-/// where they can: they would each be turned away once.
+/// Number of resting routers from which on the engine is avoided for all others as well where
+/// possible: it would refuse each of them once.
 const MIN_RESTING_ROUTERS: usize = 2;
 
-/// What an engine asked of routers.
+/// Rests that one engine requested, by router.
 #[derive(Clone, Debug, Default)]
 pub struct RouterRests {
     by_router: HashMap<HostId, Rest>,
 }
 
 impl RouterRests {
-    /// The engine asked a router for so many milliseconds from now on.
+    /// Records a rest of `time` milliseconds from now on that the engine requested from a router.
     pub fn record_rest(&mut self, now: Millis, router: HostId, time: Millis) {
         self.by_router.entry(router).or_default().ask(now, time);
     }
 
-    /// Whether the engine may get nothing from a router.
+    /// Whether the engine must not be sent requests of a router.
     pub fn is_resting(&self, now: Millis, router: HostId) -> bool {
         self.by_router.get(&router).is_some_and(|rest| rest.left(now).is_some())
     }
 
-    /// Whether requests of a router should rather go elsewhere.
+    /// Whether other engines are preferred for requests of a router.
     pub fn should_avoid(&self, now: Millis, router: HostId) -> bool {
         if self.by_router.is_empty() {
             return false;
@@ -37,14 +37,14 @@
             || self.by_router.get(&router).is_some_and(|rest| rest.is_tried(now))
     }
 
-    /// A router's request goes to the engine.
+    /// Records that a request of a router is sent to the engine.
     pub fn record_sent(&mut self, now: Millis, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
             rest.sent(now);
         }
     }
 
-    /// A router's request was served.
+    /// Records that a request of a router was served.
     pub fn record_served(&mut self, now: Millis, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
             rest.served(now);
@@ -54,14 +54,14 @@
         }
     }
 
-    /// A router's request has ended, served or not.
+    /// Records that a request of a router has ended, served or not.
     pub fn record_end(&mut self, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
             rest.ended();
         }
     }
 
-    /// A router is gone. What it was asked it has forgotten.
+    /// Removes a router that is gone, with the rest that it has recorded.
     pub fn remove_router(&mut self, router: HostId) {
         self.by_router.remove(&router);
     }
