--- a/benches/placer.rs
+++ b/benches/placer.rs
@@ -1,8 +1,8 @@
-//! Processor time of one placement, by the number of engines and of customers.
+//! Processor time of one placement by the number of engines and of customers.
 //!
-//! `cargo bench --bench placer`. A placer without I/O on a clock of its own: prompts of
-//! three kinds arrive, begin and end at a steady rate, until engines keep many prompt
-//! parts; then placements are timed, each with its beginning and its end.
+//! Run with `cargo bench --bench placer`. Drives a placer without I/O on a simulated clock. Prompts
+//! of three kinds arrive, begin and end at a steady rate until engines keep many prompt parts. Then
+//! placements are timed, each including its first event and its end.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -12,24 +12,25 @@
 };
 use bramblecrank::wire::HostId;
 
-/// Requests before the clock starts, for each engine.
+/// Requests per engine before the measurement starts.
 const WARM_UP: u64 = 60;
 /// Requests that are timed.
 const TIMED: u64 = 3_000;
-/// Engines' tokens read in a millisecond.
+/// Reading rate of the engines in tokens per millisecond.
 const RATE: f64 = 51.1;
-/// Routers that ask in turn.
+/// Number of routers that send requests in turn.
 const ROUTERS: u64 = 295;
-/// Milliseconds between events that callers were promised.
+/// Longest pause between events promised to callers, in milliseconds.
 const PROMISED_MS: u32 = 400;
-/// Every how many requests the prompt is so long that it stretches pauses, and its tokens.
+/// One in this many requests has a prompt that is long enough to extend pauses, and the tokens of
+/// that prompt's own part.
 const LONG: (u64, u32) = (20, 30_000);
-/// Shared parts of each kind of prompt.
+/// Number of shared parts of each kind of prompt.
 const SHARED: u64 = 60;
 /// Milliseconds from a placement to its first event, and from there to its end.
 const BEGINS_MS: u64 = 150;
 const ENDS_MS: u64 = 500;
-/// Tokens of the shared and of the own part of a prompt, and made, by kind.
+/// Tokens of the shared part, of the own part and of the output, by kind of prompt.
 const KINDS: [(u32, u32, u32); 3] = [(13_300, 3_720, 120), (6_300, 2_890, 56), (350, 1_110, 176)];
 
 fn engine(number: u64) -> EngineInfo {
@@ -73,7 +74,7 @@
     }
 }
 
-/// A placer under a steady load of about half of what its engines read.
+/// A placer under a steady load of about half of its engines' capacity.
 struct Load {
     placer: Placer,
     engines: u64,
@@ -98,7 +99,7 @@
 
     fn step(&mut self) {
         self.seq += 1;
-        // Four requests a second and engine.
+        // Four requests per second and engine.
         let now = self.seq * 250 / self.engines;
         while let Some((at, seq)) = self.open.pop_front_if(|(at, _)| *at <= now) {
             self.placer.receive(now, Self::router(seq), ToPlacer::FirstEvent { seq });
--- a/src/placement/cold_limit.rs
+++ b/src/placement/cold_limit.rs
@@ -1,27 +1,28 @@
-//! How much an engine is sent while it is cold.
+//! Limits the requests sent to cold engines.
 //!
-//! An engine that has just started, or whose data hall has just been taken back, bears a
-//! few requests a second and falls over at many. It answers the load of a hall that
-//! returns while all others are busy: every request finds its engines idle. All requests
-//! of the last second are counted, also those of the time before it turned cold.
+//! An engine that has just started, or whose data hall has just been taken back into service, can
+//! handle a few requests per second and fails under more. Without a limit it would receive the load
+//! of a returning hall while all other engines are busy, because every request finds its engines
+//! idle. All requests of the last second are counted, including those sent before the engine turned
+//! cold.
 
 use std::collections::VecDeque;
 
 use crate::agree::ELECTION_MS;
 use crate::dispatch::Millis;
 
-/// Milliseconds in which requests are counted: the rate is one of a second.
+/// Milliseconds over which requests are counted; limits are per second.
 const WINDOW_MS: f64 = 1_000.0;
-/// Milliseconds for which a placer whose host has come to lead sends cold engines
-/// nothing: a window in which the one before may have sent them all that they bear, and
-/// the time for which that one may not have noticed that it leads no more.
+/// Milliseconds for which a placer whose host has become the leader sends cold engines nothing: one
+/// window, in which the previous leader's placer may have used their whole capacity, and the time
+/// that the previous leader may take to notice that it no longer leads.
 const TAKE_OVER_MS: Millis = WINDOW_MS as Millis + ELECTION_MS;
 
-/// Which placer may send to cold engines.
+/// Decides whether this placer may send requests to cold engines.
 ///
-/// What an engine bears is the sum over all placers, which do not tell each other what
-/// they send. So only the placer of the leader sends, and not before what the leader
-/// before it sent has left the window; all others send cold engines nothing.
+/// The capacity of a cold engine is shared by all placers, which do not exchange what they send. So
+/// only the leader's placer sends to cold engines, and only after the requests of the previous
+/// leader's placer have left the window; all others send them nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdSendPermit {
     /// The term in which the placer's host leads, and since when.
@@ -29,37 +30,36 @@
 }
 
 impl ColdSendPermit {
-    /// The term in which the placer's host leads now, if it does. Between two terms of
-    /// its own another one may have led.
+    /// Sets the term in which the placer's host leads now, if it does. A new term restarts the
+    /// wait, because another host may have led between two terms of this one.
     pub fn set_leading_term(&mut self, now: Millis, term: Option<u64>) {
         let before = self.leads.filter(|(led, _)| Some(*led) == term);
         self.leads = before.or(term.map(|term| (term, now)));
     }
 
-    /// Part of what cold engines bear that the placer may send them.
+    /// Fraction of cold engines' capacity that the placer may use.
     pub fn part(&self, now: Millis) -> f64 {
         let may = self.leads.is_some_and(|(_, since)| now >= since + TAKE_OVER_MS);
         if may { 1.0 } else { 0.0 }
     }
 }
 
-/// What one engine was sent lately, and until when it is cold.
+/// The requests recently sent to one engine, and until when it is cold.
 #[derive(Clone, Debug, Default)]
 pub struct ColdLimit {
-    /// Requests a second that it bears while it is cold; none where it bears as many as
-    /// ever.
+    /// Requests per second that it can handle while it is cold; `None` if there is no limit.
     per_second: Option<f64>,
     cold_until: Millis,
-    /// What it said last: the number of its call, and for how many milliseconds it
-    /// would be cold.
+    /// Its last report: the sequence number of its registration, and for how many milliseconds it
+    /// stays cold.
     last_report: Option<(u64, u64)>,
     sent: VecDeque<Millis>,
 }
 
 impl ColdLimit {
-    /// The engine bears so many requests a second while it is cold, and said with the
-    /// call of this number for how many milliseconds it will be. What it said before
-    /// says nothing new.
+    /// Applies a registration: the engine can handle `per_second` requests while it is cold, and
+    /// stays cold for `warmup_ms` from the arrival of registration number `seq`. A registration
+    /// that was already applied does not extend the time.
     pub fn update(&mut self, now: Millis, per_second: Option<f64>, seq: u64, warmup_ms: u64) {
         self.per_second = per_second;
         if self.last_report.replace((seq, warmup_ms)) != Some((seq, warmup_ms)) {
@@ -67,14 +67,13 @@
         }
     }
 
-    /// Whether it must be sent nothing more now by a placer that may use `part` of what
-    /// it bears.
+    /// Whether a placer that may use `part` of its capacity must send it nothing more now.
     pub fn is_exhausted(&self, now: Millis, part: f64) -> bool {
         self.next_at(now, part).is_some_and(|at| at > now)
     }
 
-    /// When it may be sent the next request; none where nothing holds it back, and the
-    /// end of its being cold where this placer may send nothing before.
+    /// When it may be sent the next request: `None` if nothing limits it, and the end of its cold
+    /// phase if this placer may send nothing before.
     pub fn next_at(&self, now: Millis, part: f64) -> Option<Millis> {
         let per_second = self.per_second.filter(|_| now < self.cold_until)? * part;
         if per_second <= 0.0 {
@@ -86,12 +85,12 @@
         Some((counted + window_ms).min(self.cold_until))
     }
 
-    /// What was sent to the start before a moment ago may have reached this one.
+    /// Takes over requests that were sent to an earlier start: they may have reached this one.
     pub fn inherit_sent(&mut self, earlier: ColdLimit) {
         self.sent = earlier.sent;
     }
 
-    /// It was sent a request.
+    /// Records a request sent to it.
     pub fn record_sent(&mut self, now: Millis) {
         let Some(per_second) = self.per_second else { return };
         self.sent.push_back(now);
--- a/src/placement/copy.rs
+++ b/src/placement/copy.rs
@@ -1,4 +1,5 @@
-//! What an engine should copy from another one instead of reading it again.
+//! Selects the prompt parts that an engine should copy from another engine instead of reading them
+//! again.
 
 use std::cmp::Reverse;
 
@@ -9,19 +10,19 @@
 use super::parts::{EngineNumber, Match};
 use crate::dispatch::Millis;
 
-/// Milliseconds to begin a copy.
+/// Milliseconds to set up a copy.
 const COPY_SETUP_MS: f64 = 5.0;
-/// Fewer tokens are read again rather than copied.
+/// Minimum number of tokens for a copy; fewer are read again.
 const MIN_COPY_TOKENS: u32 = 500;
 
-/// Prompt parts to be copied from another engine.
+/// Prompt parts to copy from another engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartCopy {
-    /// That engine.
+    /// The engine to copy from.
     pub from: EngineNumber,
-    /// Their tokens.
+    /// Number of tokens.
     pub tokens: u32,
-    /// Milliseconds that it takes.
+    /// Duration of the copy in milliseconds.
     pub ms: f64,
 }
 
@@ -39,7 +40,7 @@
         (self.read, &self.engine.id)
     }
 
-    /// Whether an engine can use what it has read: another release cannot.
+    /// Whether an engine can use the parts that this one has read: other releases cannot.
     fn is_usable_by(&self, engine: &Engine) -> bool {
         self.engine.service == engine.service && self.engine.version == engine.version
     }
@@ -49,19 +50,20 @@
     }
 }
 
-/// From which engines the parts of one prompt can be copied.
+/// The engines from which parts of one prompt can be copied.
 #[derive(Clone, Debug)]
 pub struct CopySources<'a> {
-    /// Of each release and region the engine that has read most, the most read first.
+    /// For each release and region the engine that has read most of the prompt, in descending order
+    /// of tokens read.
     sources: Vec<Source<'a>>,
-    /// Whether engines copy from other regions: the memory of a prompt is thousands of
-    /// times its text, so only those with a network of their own between regions do.
+    /// Whether engines copy from other regions. The memory of a prompt is thousands of times the
+    /// size of its text, so this needs a dedicated network between regions.
     between_regions: bool,
 }
 
 impl<'a> CopySources<'a> {
-    /// Those for a request, of whose prompt the engines have read what was `found`. What
-    /// is bound to regions is copied from none outside them.
+    /// The sources for a request; `found` holds the tokens of its prompt that each engine has read.
+    /// A request that is bound to regions uses no source outside them.
     pub fn find(
         now: Millis,
         engines: &'a Slab<Engine>,
@@ -90,7 +92,7 @@
         CopySources { sources, between_regions }
     }
 
-    /// What an engine that keeps `kept` tokens should copy, if that is worth it.
+    /// The parts that an engine which keeps `kept` tokens should copy, if that is worthwhile.
     pub fn copy_for(&self, engine: &Engine, kept: u32) -> Option<PartCopy> {
         let is_usable = |source: &&Source<'_>| {
             source.is_usable_by(engine) && (self.between_regions || source.is_in_region_of(engine))
--- a/src/placement/engines.rs
+++ b/src/placement/engines.rs
@@ -1,21 +1,22 @@
-//! The engines that take work, as routing and registrations tell.
+//! The engines that accept requests, from routing and registrations.
 
 use crate::region::Regions;
 use crate::registry::{Registration, Registry};
 use crate::routing::{Routing, ServicePool};
 
-/// Tokens read in a millisecond by an engine of which nothing is known.
+/// Initial reading rate of an engine in tokens per millisecond if the fleet's nominal rate is not
+/// known.
 const DEFAULT_RATE: f64 = 30.0;
-/// How much more an engine reads than its part of the fleet's nominal tokens,
-/// which count all tokens of prompts, kept ones too.
+/// Ratio of the tokens that an engine reads to its part of the fleet's nominal tokens, which count
+/// all tokens of prompts, including those kept in caches.
 const RATE_OVER_NOMINAL: f64 = 1.3;
 
-/// What is known of an engine from its registration and the routing.
+/// An engine as described by its registration and the routing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineInfo {
     /// The endpoint's id.
     pub id: String,
-    /// When it started, in milliseconds since the epoch.
+    /// When its process started, in milliseconds since the epoch.
     pub started_at_ms: u64,
     /// Its service.
     pub service: String,
@@ -23,27 +24,26 @@
     pub version: String,
     /// The region of its data hall.
     pub region: String,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
     /// Tokens that its memory holds.
     pub memory_tokens: u64,
     /// Tokens in one event of a stream.
     pub tokens_per_event: u32,
-    /// A guess of the tokens that it reads in a millisecond.
+    /// Initial estimate of its reading rate, in tokens per millisecond.
     pub rate: f64,
-    /// Milliseconds to copy the memory of one token from another engine; none
-    /// where engines cannot.
+    /// Milliseconds to copy the memory (KV cache) of one token from another engine; `None` if the
+    /// engine cannot copy.
     pub copy_ms_per_token: Option<f64>,
-    /// Requests a second that it bears while it is cold; none where it bears as many
-    /// as ever.
+    /// Requests per second that it can handle while it is cold; `None` if there is no limit.
     pub cold_per_second: Option<f64>,
-    /// Number of its call that said what follows.
+    /// Sequence number of the registration that reported `warmup_ms`.
     pub registration_seq: u64,
-    /// Milliseconds for which it is still cold.
+    /// Milliseconds for which it stays cold from that registration on.
     pub warmup_ms: u64,
 }
 
-/// All engines that take work.
+/// All engines that accept requests.
 pub fn engines_of(routing: &Routing, registry: &Registry, regions: &Regions) -> Vec<EngineInfo> {
     let nominal = routing.table.limits.tokens_per_second as f64 / 1_000.0;
     let services = routing.table.services.iter();
--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -1,7 +1,7 @@
-//! A router's own placer, for the time when it reaches no control host.
+//! A router's own placer, used while the router reaches no control host.
 //!
-//! It knows only this router's requests, so it reads for no more than this
-//! router's part of the engines' time, and a little more: others may be idle.
+//! It has only this router's requests, so it plans with this router's part of the engines' time and
+//! a little more, since other routers may be idle.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -16,10 +16,11 @@
 use crate::routing::Documents;
 use crate::wire::HostId;
 
-/// How much more than an equal part of the engines a router takes alone.
+/// Multiple of an equal part of the engines' time that a router plans with while it decides by
+/// itself.
 const LOCAL_SHARE_FACTOR: f64 = 1.5;
 
-/// A placer for one router.
+/// The placer of one router.
 #[derive(Debug)]
 pub struct LocalPlacer {
     me: HostId,
@@ -51,7 +52,8 @@
         let engines = self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
         let defaults = PlacementRules::default();
         let part = (LOCAL_SHARE_FACTOR / routers.max(1) as f64).min(1.0);
-        // No router knows what others send to a cold engine, so none sends it anything.
+        // A router does not know what others send to a cold engine, so it sends cold engines
+        // nothing.
         let rules = PlacementRules {
             reading_share: defaults.reading_share * part,
             cold_part: 0.0,
@@ -66,7 +68,7 @@
         decision.map_or(FromPlacer::Unknown { seq }, |decision| decision.answer)
     }
 
-    /// Tells of a placed request.
+    /// Applies an update of a placed request.
     pub fn receive(&self, message: ToPlacer) {
         let mut placer = self.placer.lock().unwrap_or_else(PoisonError::into_inner);
         placer.receive(self.clock.now(), self.me, message);
--- a/src/placement/parts.rs
+++ b/src/placement/parts.rs
@@ -1,5 +1,5 @@
-//! Which prompt parts engines keep: by engine, in order of their last use, and by part,
-//! so that finding them does not cost a look at each engine.
+//! Index of the prompt parts that engines keep: by engine in order of last use, and by part, so
+//! that a lookup does not visit every engine.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,9 +9,9 @@
 /// How much of one prompt an engine keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Match {
-    /// Tokens of the leading parts that it keeps, or will when they are read.
+    /// Tokens of the leading parts that it keeps, including parts that it is about to read.
     pub kept: u32,
-    /// Tokens of the leading parts that it has read, so that others can copy them.
+    /// Tokens of the leading parts that it has read, so that other engines can copy them.
     pub read: u32,
     kept_parts: usize,
     read_parts: usize,
@@ -28,13 +28,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PartIndex {
     caches: Vec<PartCache>,
-    /// Holders of each part, in order of their numbers.
+    /// Holders of each part, ordered by engine number.
     holders: HashMap<u64, Vec<Holder>>,
 }
 
 impl PartIndex {
-    /// An engine has read the parts, or is about to: it keeps them, and those that it
-    /// has not used for longest give way beyond `capacity` tokens.
+    /// Records that an engine has read the parts or is about to read them. Evicts its least
+    /// recently used parts beyond `capacity` tokens.
     pub fn touch(&mut self, engine: EngineNumber, parts: &[(u64, u32)], capacity: u64) {
         if self.caches.len() <= engine {
             self.caches.resize_with(engine + 1, PartCache::default);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// An engine has read the parts that it keeps of these.
+    /// Marks those of the parts that an engine keeps as read.
     pub fn set_read(&mut self, engine: EngineNumber, parts: &[(u64, u32)]) {
         for (part, _) in parts {
             let Some(holders) = self.holders.get_mut(part) else { continue };
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An engine is gone.
+    /// Removes an engine.
     pub fn remove_engine(&mut self, engine: EngineNumber) {
         let Some(cache) = self.caches.get_mut(engine) else { return };
         while let Some(part) = cache.evict_oldest(0) {
@@ -74,7 +74,7 @@
         self.caches.get(engine).map_or(0, |cache| cache.kept_tokens(parts))
     }
 
-    /// How much of a prompt each engine keeps; `found` has a place for each engine.
+    /// Writes to `found`, indexed by engine number, how much of a prompt each engine keeps.
     pub fn find(&self, parts: &[(u64, u32)], found: &mut [Match]) {
         found.fill(Match::default());
         for (before, (part, tokens)) in parts.iter().enumerate() {
@@ -110,7 +110,7 @@
     used: u64,
 }
 
-/// The prompt parts that one engine keeps, in order of their last use.
+/// The prompt parts that one engine keeps, in order of last use.
 #[derive(Clone, Debug, Default)]
 struct PartCache {
     kept: HashMap<u64, Kept>,
@@ -128,7 +128,7 @@
     /// Keeps the parts; returns those that were not kept before.
     fn touch(&mut self, parts: &[(u64, u32)]) -> Vec<u64> {
         let mut new = Vec::new();
-        // Later parts are useless without earlier ones, so those go first.
+        // Later parts are useless without the earlier ones, so they are evicted first.
         for (id, tokens) in parts.iter().rev() {
             self.uses += 1;
             let kept = Kept { tokens: *tokens, used: self.uses };
@@ -145,7 +145,7 @@
         new
     }
 
-    /// Drops the part unused for longest while there are more than `capacity` tokens.
+    /// Evicts the least recently used part if more than `capacity` tokens are kept; returns its id.
     fn evict_oldest(&mut self, capacity: u64) -> Option<u64> {
         if self.tokens <= capacity {
             return None;
--- a/src/placement/records.rs
+++ b/src/placement/records.rs
@@ -1,9 +1,8 @@
-//! What a router remembers of its own placements.
+//! A router's records of its own placements.
 //!
-//! A placer that takes over knows neither what engines have still to read nor
-//! what they keep. Each router tells it its own part of both before it asks the
-//! first time, so that nothing is read again that some engine keeps, and no
-//! engine is taken for idle.
+//! A placer that takes over knows neither the prompts that engines have still to read nor the parts
+//! that they keep. Each router sends it a snapshot of its own requests before its first query, so
+//! that no prompt is read again that an engine keeps, and no busy engine is taken for idle.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,12 +10,12 @@
 use crate::dispatch::Millis;
 use crate::wire::HostId;
 
-/// Prompt parts that are remembered, those used last.
+/// Maximum number of remembered prompt prefixes; the least recently used is evicted.
 const MAX_KEPT_PREFIXES: usize = 256;
-/// Engines of which it is remembered that they want rest: more than a fleet has.
+/// Maximum number of remembered rests: more than a fleet has engines.
 const MAX_RESTS: usize = 2_048;
 
-/// Who was told of an open request.
+/// A placer that was sent an open request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacerId {
     /// The placer of a control host.
@@ -36,11 +35,11 @@
 pub struct EndpointStartRef<'a> {
     /// The endpoint's id.
     pub endpoint: &'a str,
-    /// When it started.
+    /// When its process started, in milliseconds since the epoch.
     pub started_at_ms: u64,
 }
 
-/// Open requests and kept prompt parts.
+/// Open requests, prompt parts that engines keep, and rests.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementRecords {
     open: BTreeMap<u64, Open>,
@@ -50,7 +49,7 @@
     rests: HashMap<String, Resting>,
 }
 
-/// A rest that an engine asked for.
+/// A rest that an engine requested.
 #[derive(Clone, Copy, Debug)]
 struct Resting {
     started_at_ms: u64,
@@ -58,7 +57,7 @@
 }
 
 impl PlacementRecords {
-    /// A request was placed at an endpoint.
+    /// Records that a request was placed at an endpoint by placer `by`.
     pub fn record_placement(
         &mut self,
         request: &PlacementRequest,
@@ -78,20 +77,20 @@
         self.open.insert(request.seq, Open { request: open, placers: vec![by] });
     }
 
-    /// The first event of a request came; returns who is to be told.
+    /// Records the first event of a request; returns the placers to notify.
     pub fn record_first_event(&mut self, seq: u64) -> Vec<PlacerId> {
         let Some(open) = self.open.get_mut(&seq) else { return Vec::new() };
         open.request.first_event_seen = true;
         let placers = open.placers.clone();
         let (endpoint, started_at_ms) = (open.request.endpoint.clone(), open.request.started_at_ms);
-        // The last part is the request's own; few ask for it again.
+        // The last part belongs to this request alone and is rarely requested again.
         let shared = open.request.parts.len().saturating_sub(1);
         let parts = open.request.parts[..shared].to_vec();
         self.record_kept(KeptParts { endpoint, started_at_ms, parts });
         placers
     }
 
-    /// A request has ended; returns who is to be told.
+    /// Records that a request has ended; returns the placers to notify.
     pub fn record_end(&mut self, seq: u64) -> Vec<PlacerId> {
         self.open.remove(&seq).map(|open| open.placers).unwrap_or_default()
     }
@@ -112,7 +111,7 @@
         }
     }
 
-    /// An engine asked for so many milliseconds of rest.
+    /// Records that an engine requested a rest of `time` milliseconds.
     pub fn record_rest(&mut self, now: Millis, at: EndpointStartRef<'_>, time: Millis) {
         self.rests.retain(|_, rest| rest.until > now);
         if self.rests.len() < MAX_RESTS {
@@ -131,7 +130,7 @@
         self.rests.iter().filter_map(report).collect()
     }
 
-    /// All that `placer` does not know yet; from now on it is told.
+    /// The state to send to `placer`, which is notified of changes from now on.
     pub fn snapshot_for(&mut self, now: Millis, placer: HostId) -> RouterSnapshot {
         let id = PlacerId::Host(placer);
         let mut open = Vec::new();
--- a/src/placement/rules.rs
+++ b/src/placement/rules.rs
@@ -1,48 +1,46 @@
-//! What the placer aims at.
+//! Settings of the placer.
 
 use serde::{Deserialize, Serialize};
 
-/// What the placer aims at. The defaults are the measured ones, see
-/// `docs/DISPATCH.md`.
+/// Settings of the placer. `docs/DISPATCH.md` explains the measurements behind the defaults.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacementRules {
-    /// Part of their time that engines may spend on reading prompts; the rest
-    /// keeps running streams from slowing down.
+    /// Fraction of their time that engines may spend on reading prompts; the rest keeps running
+    /// streams from slowing down.
     pub reading_share: f64,
-    /// How much dearer reading a prompt counts than waiting for others': what is
-    /// read twice is lost to all.
+    /// Weight of the time to read a prompt relative to waiting for other prompts: reading a prompt
+    /// twice wastes capacity of the whole fleet.
     pub reading_weight: f64,
-    /// How much dearer copying prompt parts counts than waiting.
+    /// Weight of the time to copy prompt parts relative to waiting.
     pub copying_weight: f64,
-    /// Part of its objective that a customer at its share may count on; it falls
-    /// with the square of what it was served over its share.
+    /// Fraction of its objective for which a request of a customer at its share may wait; it falls
+    /// with the square of received service divided by the share.
     pub above_share: f64,
-    /// Milliseconds kept back from each objective, for what the model misses.
+    /// Milliseconds kept back from each objective for errors of the model.
     pub margin_ms: f64,
-    /// Part of its objective that a request which can never be in time may wait
-    /// for others.
+    /// Fraction of its objective for which a request that can never meet it may wait for others.
     pub never_in_time_wait: f64,
-    /// The same for a customer that got less than `underserved` of what it is owed:
-    /// it is rather late than refused.
+    /// The same for a customer that received less than `underserved` of its share: its requests are
+    /// late rather than refused.
     pub underserved_wait: f64,
-    /// Milliseconds of waiting that an engine in another region counts dearer: bytes
-    /// between regions take a narrow link and a price.
+    /// Extra cost of an engine in another region, in milliseconds of waiting: links between regions
+    /// are narrow and cost money.
     pub other_region_cost_ms: f64,
-    /// Milliseconds to another region and back.
+    /// Milliseconds of the round trip to another region.
     pub other_region_round_trip_ms: f64,
-    /// Whether engines copy prompt parts between regions: only where they have a network
-    /// of their own there. On a link that all traffic shares a copy takes minutes.
+    /// Whether engines copy prompt parts between regions, which needs a dedicated network between
+    /// them. On a link that all traffic shares a copy takes minutes.
     pub copies_between_regions: bool,
-    /// Part of what a customer is owed below which it is underserved.
+    /// Fraction of its share below which a customer is underserved.
     pub underserved: f64,
-    /// Part of what cold engines bear that this placer may send them.
+    /// Fraction of cold engines' capacity that this placer may use.
     pub cold_part: f64,
-    /// Tokens of a prompt that an engine reads before a step of what runs: what engines
-    /// are commonly set to.
+    /// Tokens of a prompt that an engine reads before a step of the running requests (prefill chunk
+    /// size). The default is a common setting of engines.
     pub piece_tokens: u32,
-    /// Milliseconds of waiting that a stream counts for whose pauses a prompt would
-    /// stretch beyond what its caller was promised.
+    /// Cost, in milliseconds of waiting, of each stream whose pauses a prompt would extend beyond
+    /// what its caller was promised.
     pub late_stream_cost_ms: f64,
 }
 
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -22,10 +22,10 @@
 use crate::routing::Documents;
 use crate::wire::{BatchSender, BatchWriter, HostId, SentBytes};
 
-/// How often the engines are looked up even where no change was told.
+/// How often the engines are read from the registry even if no change was announced.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// The shortest time between two looks: a look goes through all engines, of which
-/// thousands may register within a second.
+/// Minimum time between two reads of the engines: each iterates over all engines, and thousands may
+/// register within a second.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
 /// Messages that may wait for the placer.
 const INBOX_CAPACITY: usize = 4_096;
@@ -35,15 +35,15 @@
     Closed { router: HostId, session: u64 },
 }
 
-/// Where routers' connections to the placer are handed over.
+/// A handle to the placer's task, which takes over routers' connections.
 #[derive(Clone, Debug)]
 pub struct PlacerHandle {
     events: mpsc::Sender<Event>,
     sent: SentBytes,
 }
 
-/// Starts the placer of a control host; `leads` tells in which term that host
-/// leads, if it does.
+/// Starts the placer of a control host; `leading_term` returns the term in which that host leads,
+/// if it does.
 pub fn serve(
     rules: PlacementRules,
     clock: Clock,
@@ -104,7 +104,7 @@
     placer: Placer,
     leading_term: Box<dyn Fn() -> Option<u64> + Send>,
     cold_send_permit: ColdSendPermit,
-    /// Part of what cold engines bear that the leader's placer may send them.
+    /// Fraction of cold engines' capacity that the leader's placer may use.
     cold_part: f64,
     sessions: HashMap<HostId, (u64, BatchSender<FromPlacer>)>,
 }
@@ -115,7 +115,7 @@
         let mut changes = self.registry.watch();
         let mut refreshed_at = Instant::now();
         let mut refresh_at = refreshed_at;
-        // Whether a change is about to be learnt.
+        // Whether a refresh is already scheduled for a change.
         let mut is_refresh_scheduled = false;
         loop {
             tokio::select! {
@@ -132,7 +132,7 @@
                     changes.mark_unchanged();
                     self.refresh_engines();
                     refreshed_at = Instant::now();
-                    // What is only remembered is forgotten without a change.
+                    // Registrations that expire do so without a change being announced.
                     refresh_at = refreshed_at + REFRESH_INTERVAL;
                     is_refresh_scheduled = false;
                 }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Whether it is this placer's turn to send to cold engines.
+    /// Updates the fraction of cold engines' capacity that this placer may use.
     fn update_cold_part(&mut self, now: Millis) {
         self.cold_send_permit.set_leading_term(now, (self.leading_term)());
         self.placer.set_cold_part(self.cold_part * self.cold_send_permit.part(now));
@@ -174,7 +174,7 @@
             }
             Event::Closed { router, session } => {
                 if self.sessions.get(&router).is_some_and(|(current, _)| *current == session) {
-                    log::info!("placement: router {router} left");
+                    log::info!("placement: router {router} detached");
                     self.sessions.remove(&router);
                     self.placer.remove_router(now, router);
                 }
--- a/src/placement/shares.rs
+++ b/src/placement/shares.rs
@@ -1,4 +1,4 @@
-//! What customers asked for and got, over a sliding window.
+//! Service that customers requested and received, over a sliding window.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,32 +7,32 @@
 /// Length of the window in milliseconds.
 pub const WINDOW_MS: Millis = 4_000;
 
-/// Ratio of service received to share from which on a customer is above it.
+/// Ratio of received service to share above which a customer is above its share.
 const SHARE_TOLERANCE: f64 = 1.002;
 
-/// What a customer got so far.
+/// Service that a customer received in the window, relative to its share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareUsage {
-    /// Service received over its share: over what an equal division of all that was
-    /// served gives to those who ask for more. Above 1, it has had its share.
+    /// Service received divided by its share, which is an equal division of all service among the
+    /// customers that request more. Above 1, it has received its full share.
     pub ratio: f64,
-    /// Service received over the lesser of what it asked and what an equal division
-    /// gives: 1 where it got what it is owed.
+    /// Service received divided by the lesser of what it requested and its share: 1 if it received
+    /// all that it is entitled to.
     pub fulfilment: f64,
-    /// Service received over what an equal division of all service gives, also of
-    /// what engines do beyond what they are meant to.
+    /// Service received divided by an equal division of all service, including what engines do
+    /// beyond their nominal capacity.
     pub relative: f64,
 }
 
 impl Default for ShareUsage {
-    /// Of a customer that has asked for nothing.
+    /// Of a customer that has requested nothing.
     fn default() -> ShareUsage {
         ShareUsage { ratio: 0.0, fulfilment: 1.0, relative: 0.0 }
     }
 }
 
 impl ShareUsage {
-    /// Whether it has had what it is owed.
+    /// Whether it has received its share.
     pub fn is_above(&self) -> bool {
         self.ratio > SHARE_TOLERANCE
     }
@@ -52,30 +52,29 @@
     served: bool,
 }
 
-/// Units asked and served by customer. A unit is one token read or half a token
-/// made.
+/// Units requested and received by customer. A unit is one input token or half an output token.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     accounts: HashMap<String, Account>,
     events: VecDeque<Event>,
-    /// Units that are to be divided in a window; none where that is not known.
+    /// Units to be divided within a window; `None` if that is not known.
     nominal: Option<f64>,
 }
 
 impl Shares {
-    /// What the engines are meant to do in a second, in units; customers are owed
-    /// equal parts of it, also where engines happen to do more.
+    /// Sets the nominal capacity of the engines in units per second. Customers are entitled to
+    /// equal parts of it, even if engines happen to do more.
     pub fn set_nominal(&mut self, units_per_second: u64) {
         let in_window = units_per_second as f64 * WINDOW_MS as f64 / 1_000.0;
         self.nominal = (units_per_second > 0).then_some(in_window);
     }
 
-    /// A customer asks for `units`.
+    /// Records that a customer requests `units`.
     pub fn record_demand(&mut self, now: Millis, customer: &str, units: u64) {
         self.record(now, customer, units, false);
     }
 
-    /// A customer's request was placed.
+    /// Records that a customer's request was placed.
     pub fn record_service(&mut self, now: Millis, customer: &str, units: u64) {
         self.record(now, customer, units, true);
     }
@@ -107,7 +106,7 @@
         }
     }
 
-    /// What a customer got so far.
+    /// Service that a customer received in the window, relative to its share.
     pub fn usage(&self, customer: &str) -> ShareUsage {
         let Some(account) = self.accounts.get(customer) else { return ShareUsage::default() };
         let levels = self.levels();
@@ -134,17 +133,17 @@
     }
 }
 
-/// The most that any customer gets of a division in equal parts, max-min by what was
-/// asked.
+/// The largest amount that any customer gets of an equal division, max-min fair by what was
+/// requested.
 #[derive(Clone, Copy, Debug)]
 struct Levels {
-    /// Of all that was served.
+    /// Of all service.
     served: f64,
-    /// Of what engines are meant to do, or of all that was served where that is less.
+    /// Of the nominal capacity, or of all service if that is less.
     owed: f64,
 }
 
-/// The level at which `total` is divided among demands in rising order.
+/// The level at which `total` is divided among demands in ascending order.
 fn level_of(total: f64, demands: &[f64]) -> f64 {
     let mut left = total;
     let mut customers = demands.len();
