--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions of the placer.
+//! Tests of the placer's decisions.
 
 mod parts;
 mod pauses;
@@ -116,13 +116,13 @@
     }
     let (seq, retry_after_ms) = refused.expect("one engine cannot read all in 800 ms");
     assert!(seq > 1 && retry_after_ms > 0);
-    // At that time, with the others begun, it is taken.
+    // At that time, with the other prompts read, it is placed.
     (1..seq).for_each(|other| serve(&mut placer, u64::from(retry_after_ms), other));
     let later = u64::from(retry_after_ms) + 500;
     endpoint(place(&mut placer, later, request(1_000, "x", seq, 500)));
 }
 
-/// Engines that read one prompt after the other.
+/// Engines that read one prompt at a time.
 #[derive(Default)]
 struct Engines {
     free_at: std::collections::BTreeMap<String, u64>,
@@ -138,7 +138,7 @@
         self.reading.insert((*free_at, seq));
     }
 
-    /// Prompts that have been read by now.
+    /// Removes and returns the requests whose prompts have been read by `now`.
     fn remove_read(&mut self, now: u64) -> Vec<u64> {
         let later = self.reading.split_off(&(now + 1, 0));
         std::mem::replace(&mut self.reading, later).into_iter().map(|(_, seq)| seq).collect()
@@ -167,7 +167,7 @@
             }
         }
     }
-    // Each asks for more than its half of what two engines read, so both get it.
+    // Each customer requests more than half of what two engines read, so each gets half.
     assert!(flood > 0);
     assert!(small * 10 >= flood * 8, "small got {small}, flood {flood}");
 }
@@ -219,8 +219,8 @@
     assert!(matches!(none, FromPlacer::Unknown { seq: 3 }));
 }
 
-/// The first engine to register is alone for a moment, and the guess of its rate
-/// is the whole fleet's.
+/// The first engine to register is briefly alone, so its initial rate is that of the whole fleet.
+/// Guards against keeping that rate once the others have registered.
 #[test]
 fn engines_that_register_one_after_the_other_get_equal_rates() {
     let mut placer = Placer::new(PlacementRules::default());
@@ -231,7 +231,7 @@
     }
     let mut counts = std::collections::BTreeMap::new();
     for seq in 100..104 {
-        // Each of a customer of its own, so that no share is exceeded.
+        // A separate customer for each request, so that no share is exceeded.
         let customer = seq.to_string();
         let big = PlacementRequest { objective_ms: 60_000, ..request(seq, &customer, seq, 500) };
         *counts.entry(endpoint(place(&mut placer, 0, big))).or_insert(0) += 1;
@@ -265,7 +265,7 @@
         shares.record_demand(0, customer, asked);
         shares.record_service(0, customer, served);
     }
-    // 900 served: a gets its 100, b and c could have 400 each.
+    // 900 units served: a gets its 100, b and c are entitled to 400 each.
     assert!((shares.usage("a").ratio - 0.25).abs() < 1e-9);
     assert!((shares.usage("b").ratio - 1.25).abs() < 1e-9);
     assert!((shares.usage("c").ratio - 0.75).abs() < 1e-9);
@@ -295,8 +295,8 @@
 proptest! {
     #![proptest_config(crate::testing::property(64))]
 
-    /// Whatever happens, once every request has ended an engine takes work at
-    /// once again: nothing that was placed is held for ever.
+    /// Once every request has ended, an engine accepts requests again, whatever happened before: no
+    /// placed request holds capacity for ever.
     #[test]
     fn every_placed_request_is_released(steps in proptest::collection::vec(step(), 0..80)) {
         let mut placer = placer(&["a", "b"]);
@@ -328,8 +328,8 @@
     }
 }
 
-/// What routers remember lets a placer that takes over find what engines keep
-/// and have still to read.
+/// The snapshot that routers send lets a placer that takes over find the parts that engines keep
+/// and the prompts that they have still to read.
 #[test]
 fn a_placer_that_takes_over_gets_the_state_of_routers() {
     let mut records = PlacementRecords::default();
@@ -360,7 +360,7 @@
     let behind = decide(&mut second, 0, alone);
     assert!(behind.backlog_ms > 500.0, "40,000 tokens wait there: {} ms", behind.backlog_ms);
 
-    // Both are told how it ends, and hearing it twice changes nothing.
+    // Both placers are notified of the end, and a repeated snapshot changes nothing.
     second.receive(0, ROUTER, ToPlacer::Snapshot(snapshot));
     assert_eq!(records.record_end(2), [PlacerId::Host(HostId(8)), PlacerId::Host(HostId(9))]);
     second.receive(1, ROUTER, ToPlacer::Done { seq: 2, completion: Completion::Served });
@@ -385,7 +385,7 @@
 #[test]
 fn requests_of_an_underserved_customer_are_late_rather_than_refused() {
     let mut placer = placer(&["a"]);
-    // One that was served far above its share fills the engine.
+    // A customer that was served far above its share fills the engine.
     let mut seq = 0;
     let mut refused = false;
     while !refused {
--- a/src/placement/tests/parts.rs
+++ b/src/placement/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The index of prompt parts against a plain model of each engine's memory.
+//! Tests the index of prompt parts against a simple model of each engine's cache.
 
 use proptest::prelude::*;
 
@@ -7,7 +7,7 @@
 const ENGINES: usize = 3;
 const CAPACITY: u64 = 50;
 
-/// One engine's parts, the one used last at the end: id, tokens, whether it was read.
+/// One engine's parts, most recently used last: id, tokens, whether it was read.
 type Plain = Vec<(u64, u32, bool)>;
 
 fn touch(plain: &mut Plain, parts: &[(u64, u32)]) {
@@ -45,7 +45,7 @@
     ]
 }
 
-/// Parts with their tokens, each once.
+/// Parts with their tokens, without duplicates.
 fn with_tokens(ids: &[u64]) -> Vec<(u64, u32)> {
     let mut parts: Vec<(u64, u32)> = Vec::new();
     for id in ids {
--- a/src/placement/tests/pauses.rs
+++ b/src/placement/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Long prompts beside running streams.
+//! Long prompts among running streams.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +8,10 @@
 
 const PROFILE: ReadingProfile =
     ReadingProfile { rate: 64.0, tokens_per_event: 8, piece_tokens: 2_048 };
-/// What callers are promised.
+/// The longest pause promised to callers, in milliseconds.
 const PROMISED_MS: u32 = 400;
 
-/// Engines whose streams' events hold eight tokens.
+/// A placer of engines with eight tokens in an event of a stream.
 fn placer(ids: &[&str]) -> Placer {
     let mut placer = Placer::new(PlacementRules::default());
     let engine = |id: &&str| EngineInfo { tokens_per_event: 8, ..engine(id) };
@@ -29,10 +29,10 @@
     let piece = PROFILE.longest_pause_ms(0, 2_048);
     let event = PROFILE.longest_pause_ms(0, 8 * 2_048);
     assert!(short < piece && piece < event, "{short} {piece} {event}");
-    // What is read before them counts as context only.
+    // Tokens read before the last pieces count as context only.
     let longer = PROFILE.longest_pause_ms(0, 16 * 2_048);
     assert!(longer > event && longer < 1.5 * event, "{event} {longer}");
-    // So does what is kept.
+    // So do kept tokens.
     assert!(PROFILE.longest_pause_ms(16 * 2_048, 600) < 2.0 * short);
     assert!((PROFILE.longest_pause_ms(8 * 2_048, 8 * 2_048) - longer).abs() < 1.0);
     assert!(!exceeds_promise(short, PROMISED_MS) && exceeds_promise(longer, PROMISED_MS));
@@ -54,14 +54,14 @@
     assert_eq!(streams.count_exceeded(5_000.0), 1);
 }
 
-/// Engines that read one prompt after the other beside streams that run for a while.
+/// Engines that read one prompt at a time while streams run.
 #[derive(Default)]
 struct Fleet {
-    /// When each has read all that it got.
+    /// When each engine has read all that it was sent.
     free_at: BTreeMap<String, u64>,
-    /// When a request begins or ends: time, number, whether it begins.
+    /// Events to come: time, number of the request, whether it begins or ends.
     coming: BTreeSet<(u64, u64, bool)>,
-    /// Streams under way: engine, and when they begin.
+    /// Running streams by request: engine, and when the stream begins.
     streams: BTreeMap<u64, (String, u64)>,
     late: BTreeSet<u64>,
     /// Tokens of shared parts read.
@@ -115,7 +115,7 @@
     }
 }
 
-/// Sixteen engines, ten short prompts a second and one long one, of two customers.
+/// Sixteen engines, ten short prompts and one long one per second, of two kinds.
 fn play(pause_ms: u32) -> Fleet {
     let ids: Vec<String> = (0..16).map(|n| format!("engine-{n}")).collect();
     let mut placer = placer(&ids.iter().map(String::as_str).collect::<Vec<_>>());
@@ -174,7 +174,7 @@
     records.record_first_event(1);
     let mut placer = placer(&["a", "b"]);
     placer.receive(0, ROUTER, ToPlacer::Snapshot(records.snapshot_for(0, ROUTER)));
-    // What its parts are worth at the one engine, the stream there is worth more.
+    // Avoiding the stream at one engine is worth more than the parts that it keeps.
     let mut long = request(2, "x", 1, 20_000);
     (long.pause_objective_ms, long.objective_ms) = (PROMISED_MS, 2_000);
     assert_eq!(endpoint(place(&mut placer, 0, long)), "b");
--- a/src/placement/tests/queue.rs
+++ b/src/placement/tests/queue.rs
@@ -1,4 +1,4 @@
-//! What an engine is to read, and what is seen of it.
+//! Tests of an engine's queue and of the observations of its reading.
 
 use super::super::choice::memory_tokens;
 use super::super::engine::EngineModel;
@@ -47,8 +47,8 @@
     assert_eq!(queue.wait_ms(2_000, PACE), 200.0);
 }
 
-/// An engine whose queue long prompts with long objectives fill has room for a short
-/// one with a short objective.
+/// An engine whose queue is filled by long prompts with long objectives has room for a short prompt
+/// with a short objective.
 #[test]
 fn a_short_prompt_is_placed_where_long_ones_wait() {
     let mut placer = placer(&["a"]);
@@ -66,7 +66,7 @@
             break;
         }
     }
-    // All was read at full speed but for a little, and is paced for longer.
+    // All but a little was read at full speed; the paced queue lasts longer.
     for read in 1..seq {
         placer.receive(20 * read + 60, ROUTER, ToPlacer::FirstEvent { seq: read });
     }
@@ -74,7 +74,7 @@
     assert!(matches!(place(&mut placer, now, own(100, 500, 400)), FromPlacer::Go { .. }));
 }
 
-/// A router that is cut off cannot say that its prompts were read.
+/// A router that is cut off cannot report that its prompts were read.
 #[test]
 fn prompts_that_were_overtaken_count_as_read() {
     let mut model = EngineModel::new(64, 500_000, 50.0, 1.0);
--- a/src/placement/tests/rate.rs
+++ b/src/placement/tests/rate.rs
@@ -1,19 +1,18 @@
-//! How fast engines are taken to read.
+//! Learned reading rates.
 
 use std::collections::{BTreeMap, HashSet};
 
 use super::*;
 
-/// Tokens that these engines read in a millisecond, ten times what their part of the
-/// fleet's nominal tokens says.
+/// Tokens that these engines read per millisecond, ten times the rate derived from the fleet's
+/// nominal tokens.
 const TRUE_RATE: f64 = 50.0;
 const ENGINES: usize = 300;
-/// Milliseconds to a first event beyond reading.
+/// Milliseconds to a first event in addition to reading.
 const FIRST_EVENT_OVERHEAD_MS: u64 = 55;
 
-/// Many engines with little to do: a request every 20 ms, four in a row
-/// with one shared part. Each
-/// prompt takes what it takes at the true rate. Returns the requests refused of the
+/// Many engines under light load: a request every 20 ms, four in a row with the same shared part.
+/// Each prompt takes the time given by the true rate. Returns the number of refused requests in the
 /// second half.
 fn refused(requests: u64) -> usize {
     let mut placer = Placer::new(PlacementRules::default());
--- a/src/placement/tests/regions.rs
+++ b/src/placement/tests/regions.rs
@@ -4,7 +4,7 @@
 use crate::eligibility::Eligibility;
 use crate::region::{AllowedRegions, Regions};
 
-/// Data hall `a` is in region `r`, `b` in `s`. The router that asks stands in `a`.
+/// Data hall `a` is in region `r`, `b` in `s`. The router is in `a`.
 fn regions() -> Regions {
     [("a", "r"), ("b", "s")]
         .map(|(hall, region)| (hall.into(), region.into()))
@@ -16,7 +16,7 @@
     EngineInfo { region: "s".into(), ..engine(id) }
 }
 
-/// A placer with these engines near the router that asks, and far from it.
+/// A placer with some engines in the router's region and some in the other one.
 fn placer_of(near: &[&str], far: &[&str]) -> Placer {
     let mut placer = Placer::new(PlacementRules::default());
     placer.set_hall_regions(HallRegions::new(regions()));
@@ -32,7 +32,7 @@
     PlacementRequest { eligibility, ..request }
 }
 
-/// A customer of its own for each request, so that no share is exceeded.
+/// A separate customer for each request, so that no share is exceeded.
 fn request_of_new_customer(seq: u64) -> PlacementRequest {
     request(seq, &seq.to_string(), seq, 500)
 }
@@ -98,7 +98,7 @@
 #[test]
 fn what_an_engine_of_another_region_has_read_is_never_copied() {
     let mut placer = placer_of(&["n"], &["f"]);
-    // The far engine reads the shared part, and then has much to do.
+    // The far engine reads the shared part, and then has much to read.
     let first = bound(&["s"], request(1, "x", 7, 500));
     assert_eq!(endpoint(place(&mut placer, 0, first)), "f");
     serve(&mut placer, 300, 1);
--- a/src/placement/tests/releases.rs
+++ b/src/placement/tests/releases.rs
@@ -72,7 +72,7 @@
     let share = |demand_recorded| {
         let mut placer = placer(&["a"]);
         let again = PlacementRequest { demand_recorded, ..request(2, "x", 8, 500) };
-        // Asked for without a place, and again with other endpoints.
+        // Requested without being placed, and again with other endpoints.
         let nowhere = PlacementRequest { avoid: vec!["a".into()], ..request(1, "x", 7, 500) };
         place(&mut placer, 0, nowhere);
         place(&mut placer, 0, again);
--- a/src/placement/tests/restarts.rs
+++ b/src/placement/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under their id.
+//! Engines that restart under the same id.
 
 use super::*;
 
@@ -39,7 +39,7 @@
     placer.set_engines(10, vec![started("a", 2)]);
     let after = decide(&mut placer, 10, request(9, "x", 9, 500));
     assert_eq!(after.backlog_ms, 0.0);
-    // The routers say so later, and of the new start that says nothing.
+    // The routers report this later; it does not apply to the new start.
     for seq in 1..5 {
         placer.receive(20, ROUTER, ToPlacer::Done { seq, completion: Completion::Failed });
     }
--- a/src/placement/tests/rests.rs
+++ b/src/placement/tests/rests.rs
@@ -1,8 +1,8 @@
-//! Engines that ask routers for rest.
+//! Engines that request rests from routers.
 //!
-//! A placer decides for all routers and hears no answer itself: one that is not told places
-//! a router's requests at an engine that wants none from it, again and again, and the router
-//! can only refuse them or choose alone.
+//! A placer decides for all routers but receives no answers itself. Without reports of rests it
+//! would place a router's requests again and again at an engine that accepts none from it, and the
+//! router could only refuse them or choose by itself.
 
 use super::*;
 
@@ -34,7 +34,7 @@
     for seq in 1..10 {
         assert_eq!(endpoint(place_for(&mut placer, 10 * seq, ROUTER, seq)), "b");
     }
-    // The engine asked nothing of the other one.
+    // The engine requested no rest from the other router.
     let of_other: Vec<_> =
         (1..10).map(|seq| endpoint(place_for(&mut placer, 100, OTHER, seq))).collect();
     assert!(of_other.contains(&"a".to_string()));
@@ -53,7 +53,7 @@
 fn one_trial_request_follows_a_rest_and_more_once_it_is_served() {
     let mut placer = placer(&["a", "b"]);
     report_rest(&mut placer, 0, ROUTER, rest("a", 1_000));
-    // The other engine has something to do, so that this one looks better.
+    // The other engine has something to read, so that this one looks better.
     for seq in 100..104 {
         place_for(&mut placer, 990, ROUTER, seq);
     }
@@ -121,7 +121,7 @@
     report_rest(&mut placer, 0, ROUTER, rest("a", 10_000));
     placer.set_engines(100, vec![EngineInfo { started_at_ms: 7, ..engine("a") }]);
     assert_eq!(endpoint(place_for(&mut placer, 100, ROUTER, 1)), "a");
-    // What was under way says nothing of it.
+    // A report of the earlier start that was in flight does not apply to it.
     report_rest(&mut placer, 101, ROUTER, rest("a", 10_000));
     assert_eq!(endpoint(place_for(&mut placer, 102, ROUTER, 2)), "a");
 }
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -1,6 +1,6 @@
-//! A router's sessions with a placer over real sockets, when connections fall silent: a
-//! router that asked on a dead connection again and again would place for itself for ever,
-//! and customers would not get equal parts.
+//! A router's sessions with a placer over real sockets, on connections that fall silent. A router
+//! that kept using a dead connection would place requests by itself for ever, and customers would
+//! not get equal shares.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,13 +17,14 @@
 use crate::testing::{peer_address, publication_of_leader, start_peers, wait_until};
 use crate::wire::{Open, Role, write_frame};
 
-/// What a control host does with what it takes.
+/// A control host that stops answering on some connections.
 #[derive(Clone, Debug)]
 struct ControlHost {
     peers: Arc<Peers>,
-    /// Feeds that it publishes; it says nothing on later ones.
+    /// Number of feeds that it publishes; it sends nothing on later ones.
     feeds: usize,
-    /// Placement sessions in which it answers nothing; it refuses all in later ones.
+    /// Number of placement sessions in which it does not answer; it refuses every request in later
+    /// ones.
     silent_sessions: usize,
     feeds_accepted: Arc<AtomicUsize>,
     sessions_accepted: Arc<AtomicUsize>,
@@ -48,7 +49,7 @@
             return std::future::pending().await;
         }
         let publication = publication_of_leader(&self.peers, Arc::default(), Arc::default());
-        // The router leaves at the end of the test.
+        // The router disconnects at the end of the test.
         let _ = publish(publication, self.peers.sent.clone(), reader, writer).await;
     }
 
@@ -119,8 +120,8 @@
     assert!(answered.is_ok(), "the placer is never asked on a new connection");
 }
 
-/// Connections to one host die together, and a session on which nothing is asked shows
-/// nothing by itself: it would be found dead when it is needed.
+/// Connections to one host fail together. A session without queries shows nothing by itself, and
+/// would only be found dead when it is needed.
 #[tokio::test]
 async fn a_session_is_reopened_when_the_feed_falls_silent() {
     let (host, _client) = start(103, 0, 0).await;
--- a/src/placement/tests/share_usage.rs
+++ b/src/placement/tests/share_usage.rs
@@ -1,4 +1,4 @@
-//! Customers that have had what they are owed, and those that have not.
+//! Customers that have received their share, and customers that have not.
 
 use super::*;
 
@@ -10,17 +10,17 @@
         shares.record_service(0, customer, 4_000);
     }
     assert_eq!(shares.usage("a").ratio, 1.0);
-    // 1,000 a second are 4,000 in a window, 2,000 for each.
+    // 1,000 units a second are 4,000 in a window, 2,000 for each.
     shares.set_nominal(1_000);
     assert_eq!(shares.usage("a").ratio, 2.0);
     assert_eq!(shares.usage("a").relative, 1.0);
-    // Where engines do less than that, what they do is divided.
+    // If engines do less than that, what they do is divided.
     shares.set_nominal(100_000);
     assert_eq!(shares.usage("a").ratio, 1.0);
 }
 
-/// Both ask for more than they are owed; the one that got less of the surplus may
-/// wait longer for it.
+/// Both customers request more than their share; the one that received less of the surplus may wait
+/// longer for it.
 #[test]
 fn surplus_goes_to_the_customer_that_received_less_of_it() {
     let mut placer = placer(&["a"]);
--- a/src/placement/tests/warmth.rs
+++ b/src/placement/tests/warmth.rs
@@ -4,7 +4,8 @@
 use crate::agree::ELECTION_MS;
 use crate::placement::cold_limit::{ColdLimit, ColdSendPermit};
 
-/// What the users' cold engines bear, and what their rule allows in any second.
+/// Requests per second that the users' cold engines can handle, and the number that their rule
+/// allows in any second.
 const COLD_PER_SECOND: f64 = 6.1;
 const ALLOWED_PER_SECOND: usize = 14;
 
@@ -18,8 +19,8 @@
     PlacementRequest { parts, prompt_tokens: 100, output_tokens: 10, ..request(seq, "x", 0, 0) }
 }
 
-/// Places a short prompt every 10 ms, each answered at once; returns when each endpoint
-/// was sent something.
+/// Places a short prompt every 10 ms, each answered at once; returns the time and the endpoint of
+/// each request sent.
 fn play(placer: &mut Placer, from: u64, until: u64) -> Vec<(u64, String)> {
     let mut sent = Vec::new();
     for now in (from..until).step_by(10) {
@@ -50,7 +51,7 @@
     assert!(max_in_a_second(&sent, "back") > ALLOWED_PER_SECOND, "not limited once it is warm");
 }
 
-/// Requests that were meant for the start before reached the new one before it was known.
+/// Requests meant for the earlier start reach the new one before the placer learns of it.
 #[test]
 fn requests_sent_before_a_cold_start_was_known_count() {
     let mut placer = Placer::new(PlacementRules::default());
@@ -114,7 +115,7 @@
     assert_eq!(play(&mut placer, 3_000, 3_500).len(), 50);
 }
 
-/// A control host's placer, and the terms in which its host takes itself for the leader.
+/// A control host's placer, and the terms in which its host believes that it leads.
 struct Host {
     placer: Placer,
     permit: ColdSendPermit,
@@ -144,9 +145,9 @@
 proptest! {
     #![proptest_config(crate::testing::property(64))]
 
-    /// Whichever placers are asked, also one that led before and leads again, and however
-    /// long a leader does not notice that it leads no more: together they send a cold
-    /// engine what it bears.
+    /// All placers together send a cold engine no more than it can handle: whichever placers are
+    /// asked, including one that led before and leads again, and however long a former leader does
+    /// not notice that it was replaced.
     #[test]
     fn all_placers_together_send_a_cold_engine_no_more_than_its_limit(
         second in 3_000u64..6_000,
@@ -174,7 +175,7 @@
     }
 }
 
-/// Nobody asks the placer while another one leads, so it does not hear of it.
+/// A placer is not asked while another one leads, so it does not observe that term.
 #[test]
 fn a_placer_that_leads_again_waits_even_if_it_was_not_asked_meanwhile() {
     let mut permit = ColdSendPermit::default();
