--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -78,7 +78,7 @@
 impl PlacerPeer {
     fn end_session(&self) {
         if let Some(session) = &self.session {
-            session.cancel.cancel();
+            session.cancellation.cancel();
         }
     }
 }
--- a/src/placement/client/session.rs
+++ b/src/placement/client/session.rs
@@ -25,7 +25,7 @@
     pub out: BatchSender<ToPlacer>,
     pub waiting: Waiting,
     /// Cancelled to end the session, so that another one is opened.
-    pub cancel: CancellationToken,
+    pub cancellation: CancellationToken,
 }
 
 /// A query for the placement of a request. If it is dropped before the answer arrives, the request
@@ -83,8 +83,8 @@
     let writing = tokio::spawn(batch.run(writer, || std::future::ready(())));
     let waiting = Waiting::default();
     let _clear_on_drop = ClearOnDrop(waiting.clone());
-    let cancel = CancellationToken::new();
-    let session = Session { out, waiting: waiting.clone(), cancel: cancel.clone() };
+    let cancellation = CancellationToken::new();
+    let session = Session { out, waiting: waiting.clone(), cancellation: cancellation.clone() };
     client.set_session(host, Some(session));
     let reading = async {
         loop {
@@ -96,7 +96,7 @@
     };
     let error = tokio::select! {
         error = reading => error,
-        () = cancel.cancelled() => Error::Silent,
+        () = cancellation.cancelled() => Error::Silent,
     };
     writing.abort();
     Err(error)
--- a/src/placement/shares.rs
+++ b/src/placement/shares.rs
@@ -32,7 +32,7 @@
 }
 
 impl ShareUsage {
-    /// Whether it has received its share.
+    /// Whether it has received more than its share.
     pub fn is_above(&self) -> bool {
         self.ratio > SHARE_TOLERANCE
     }
--- a/src/placement/tests/pauses.rs
+++ b/src/placement/tests/pauses.rs
@@ -59,7 +59,7 @@
 struct Fleet {
     /// When each engine has read all that it was sent.
     free_at: BTreeMap<String, u64>,
-    /// Events to come: time, number of the request, whether it begins or ends.
+    /// Events to come: time, number of the request, whether it begins (otherwise it ends).
     coming: BTreeSet<(u64, u64, bool)>,
     /// Running streams by request: engine, and when the stream begins.
     streams: BTreeMap<u64, (String, u64)>,
