--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dispatch::Millis;
-use crate::notice::{Notice, Rest, StartAt, UnattributedNotices};
+use crate::notice::{Notice, Rest, StartAddress, UnattributedNotices};
 use crate::registry::Registration;
 use crate::wire::HostId;
 
@@ -68,7 +68,7 @@
 /// Routers do not ask each other. Where a part is less than one request a second, some
 /// routers, drawn by hash for each endpoint, may send one, and the others none.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdPart {
+pub struct ColdLimit {
     /// Requests a second that a cold endpoint bears from all routers together; none
     /// where it bears as many as a warm one.
     pub per_second: Option<f64>,
@@ -78,11 +78,11 @@
     pub router: HostId,
 }
 
-impl ColdPart {
+impl ColdLimit {
     /// Of cold engines no part at all: their placer may send them all that they bear.
-    pub fn left_to_placer(self, is_engine: bool) -> ColdPart {
+    pub fn reserved_for_placer(self, is_engine: bool) -> ColdLimit {
         let per_second = self.per_second.map(|bears| if is_engine { 0.0 } else { bears });
-        ColdPart { per_second, ..self }
+        ColdLimit { per_second, ..self }
     }
 
     /// Requests a second that this router may send to a cold endpoint; none for as many
@@ -96,12 +96,12 @@
 
 /// What this router has seen of each endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Endpoints {
+pub struct EndpointTracker {
     seen: HashMap<String, Seen>,
     unattributed: UnattributedNotices,
 }
 
-impl Endpoints {
+impl EndpointTracker {
     /// Chooses among `ready`, leaving out those in `tried`. Requests with the same
     /// affinity go to the same few endpoints as long as these have no more to do than
     /// others; all else goes where least is under way, ties by a random number: most
@@ -112,7 +112,7 @@
         ready: impl Iterator<Item = &'a Registration>,
         tried: &[String],
         preference: Preference,
-        cold: ColdPart,
+        cold: ColdLimit,
     ) -> Option<&'a Registration> {
         let usable = |r: &&Registration| {
             let replaced = self.of(r).is_some_and(|s| s.replaced);
@@ -136,12 +136,12 @@
 
     /// Whether an endpoint is not avoided after failures, nor tried after a rest.
     pub fn is_calm(&self, now: Millis, endpoint: &Registration) -> bool {
-        self.of(endpoint).is_none_or(|seen| seen.avoid_until <= now && !seen.rest.is_tried(now))
+        self.of(endpoint).is_none_or(|seen| seen.avoid_until <= now && !seen.rest.is_probing(now))
     }
 
     /// Milliseconds for which an endpoint gets nothing because it asked for rest.
     pub fn rest_left(&self, now: Millis, endpoint: &Registration) -> Option<Millis> {
-        self.of(endpoint)?.rest.left(now)
+        self.of(endpoint)?.rest.remaining(now)
     }
 
     /// Whether this start of an endpoint may have said that it leaves, rests or ends, and has
@@ -151,18 +151,18 @@
         if answered < endpoint.revivals {
             return true;
         }
-        start_at(endpoint).is_some_and(|start| self.unattributed.may_be_of(now, start))
+        start_at(endpoint).is_some_and(|start| self.unattributed.may_apply_to(now, start))
     }
 
     /// An answer came on a connection that was opened while this start was the latest known.
-    pub fn heard(&mut self, now: Millis, endpoint: &Registration, notice: &Notice) {
+    pub fn record_notice(&mut self, now: Millis, endpoint: &Registration, notice: &Notice) {
         if endpoint.revivals > 0
             && let Some(seen) = self.seen_of(&endpoint.id, endpoint.started_at_ms)
         {
             seen.revivals = seen.revivals.max(endpoint.revivals);
         }
         if let Some(start) = start_at(endpoint) {
-            self.unattributed.heard(now, start, notice);
+            self.unattributed.record(now, start, notice);
         }
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Whether an endpoint is cold and was sent this router's part of what it bears.
-    fn is_too_cold(&self, now: Millis, endpoint: &Registration, cold: ColdPart) -> bool {
+    fn is_too_cold(&self, now: Millis, endpoint: &Registration, cold: ColdLimit) -> bool {
         if endpoint.warmup_ms == 0 {
             return false;
         }
@@ -226,19 +226,19 @@
     }
 
     /// A request was sent to an endpoint that started at `started_at_ms`.
-    pub fn begin(&mut self, now: Millis, id: &str, started_at_ms: u64, prompt_tokens: u32) {
+    pub fn record_sent(&mut self, now: Millis, id: &str, started_at_ms: u64, prompt_tokens: u32) {
         let Some(seen) = self.seen_of(id, started_at_ms) else { return };
         while seen.sent.front().is_some_and(|at| at + SENT_WINDOW_MS <= now) {
             seen.sent.pop_front();
         }
         seen.sent.push_back(now);
-        seen.rest.sent(now);
+        seen.rest.record_sent(now);
         seen.in_flight += 1;
         seen.prompt_tokens += u64::from(prompt_tokens);
     }
 
     /// Its prompt has been read: the first event came.
-    pub fn begun(&mut self, id: &str, started_at_ms: u64, prompt_tokens: u32) {
+    pub fn record_first_event(&mut self, id: &str, started_at_ms: u64, prompt_tokens: u32) {
         if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
         {
             seen.prompt_tokens = seen.prompt_tokens.saturating_sub(u64::from(prompt_tokens));
@@ -246,33 +246,33 @@
     }
 
     /// A request has ended.
-    pub fn end(&mut self, id: &str, started_at_ms: u64) {
+    pub fn record_end(&mut self, id: &str, started_at_ms: u64) {
         if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
         {
             seen.in_flight = seen.in_flight.saturating_sub(1);
-            seen.rest.ended();
+            seen.rest.record_ended();
         }
     }
 
     /// A request was answered.
-    pub fn succeeded(&mut self, now: Millis, id: &str, started_at_ms: u64) {
+    pub fn record_success(&mut self, now: Millis, id: &str, started_at_ms: u64) {
         if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
         {
             seen.failures = 0;
             seen.avoid_until = 0;
-            seen.rest.served(now);
+            seen.rest.record_served(now);
         }
     }
 
     /// It turned a request away and asked for so many milliseconds of rest.
-    pub fn asked_for_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
+    pub fn record_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
         if let Some(seen) = self.seen_of(id, started_at_ms) {
-            seen.rest.ask(now, time);
+            seen.rest.extend(now, time);
         }
     }
 
     /// A request failed; returns for how long the endpoint is avoided.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         now: Millis,
         id: &str,
@@ -301,9 +301,9 @@
 }
 
 /// A start of an endpoint that can be reached.
-fn start_at(endpoint: &Registration) -> Option<StartAt<'_>> {
+fn start_at(endpoint: &Registration) -> Option<StartAddress<'_>> {
     let (id, started_at_ms) = (endpoint.id.as_str(), endpoint.started_at_ms);
-    endpoint.address.map(|address| StartAt { id, started_at_ms, address })
+    endpoint.address.map(|address| StartAddress { id, started_at_ms, address })
 }
 
 /// Rendezvous hashing: where requests of one kind go stays the same as endpoints
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -14,7 +14,7 @@
 use super::state::Gateway;
 use crate::error::{Result, RpcSnafu};
 use crate::feed::Neighbour;
-use crate::notice::{Notice, StartAt};
+use crate::notice::{Notice, StartAddress};
 use crate::registry::{EndpointStart, Hearing};
 use crate::wire::{Open, write_frame};
 
@@ -66,7 +66,7 @@
         Ok(httparse::Status::Partial) => None,
         Ok(httparse::Status::Complete(_)) => Some(answer.headers.iter().any(|header| {
             header.name.eq_ignore_ascii_case(leaving.as_str())
-                && header.value.trim_ascii() == crate::notice::LEAVES
+                && header.value.trim_ascii() == crate::notice::LEAVING_VALUE
         })),
         // What is no head says nothing.
         Err(_) => Some(false),
@@ -102,8 +102,8 @@
     let leaves = Notice { leaves: true, ..Notice::default() };
     for (start, address) in &told.heard {
         let (id, started_at_ms) = (start.id.as_str(), start.started_at_ms);
-        let start = StartAt { id, started_at_ms, address: *address };
-        gateway.with_endpoints(|seen| seen.unattributed().heard(now, start, &leaves));
+        let start = StartAddress { id, started_at_ms, address: *address };
+        gateway.with_endpoints(|seen| seen.unattributed().record(now, start, &leaves));
         gateway.check_if_uncertain(id);
     }
 }
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -90,7 +90,7 @@
             gateway: None,
         };
         let stop = CancellationToken::new();
-        let gateway = Gateway::new(settings, rules, peers, Arc::new(Dialect::native()), stop);
+        let gateway = Gateway::new(settings, rules, peers, Arc::new(HeaderNames::native()), stop);
         let of = |id: &str, version: &str, answering: &Answering| Registration {
             version: version.into(),
             address: Some(answering.address),
@@ -157,7 +157,7 @@
     }
 
     fn report(&self) -> Report {
-        self.gateway.with_releases(|releases| releases.tally.take(&self.rollouts))
+        self.gateway.with_releases(|releases| releases.tally.take_report(&self.rollouts))
     }
 }
 
@@ -238,8 +238,8 @@
         tallies.iter().find(|tally| tally.release == release).unwrap().answers.clone()
     };
     let (new, old) = (of(Release::New), of(Release::Old));
-    assert_eq!((new.sent, new.failed, new.took.len()), (1, 1, 0));
-    assert_eq!((old.sent, old.failed, old.took.len()), (1, 0, 1));
+    assert_eq!((new.sent, new.failed, new.first_byte_times.len()), (1, 1, 0));
+    assert_eq!((old.sent, old.failed, old.first_byte_times.len()), (1, 0, 1));
     assert_eq!(report.services[0].open_on_old, 0);
 }
 
--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::region::Regions;
 use crate::registry::SharedRegistry;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::wire::HostId;
 
 /// Multiple of an equal part of the engines' time that a router plans with while it decides by
@@ -25,7 +25,7 @@
 pub struct LocalPlacer {
     me: HostId,
     clock: Clock,
-    documents: Arc<Documents>,
+    documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Mutex<Placer>,
@@ -36,7 +36,7 @@
     pub fn new(
         me: HostId,
         clock: Clock,
-        documents: Arc<Documents>,
+        documents: Arc<CurrentRouting>,
         registry: Arc<SharedRegistry>,
         regions: Regions,
     ) -> LocalPlacer {
--- a/src/placement/rests.rs
+++ b/src/placement/rests.rs
@@ -19,12 +19,12 @@
 impl RouterRests {
     /// Records a rest of `time` milliseconds from now on that the engine requested from a router.
     pub fn record_rest(&mut self, now: Millis, router: HostId, time: Millis) {
-        self.by_router.entry(router).or_default().ask(now, time);
+        self.by_router.entry(router).or_default().extend(now, time);
     }
 
     /// Whether the engine must not be sent requests of a router.
     pub fn is_resting(&self, now: Millis, router: HostId) -> bool {
-        self.by_router.get(&router).is_some_and(|rest| rest.left(now).is_some())
+        self.by_router.get(&router).is_some_and(|rest| rest.remaining(now).is_some())
     }
 
     /// Whether other engines are preferred for requests of a router.
@@ -32,23 +32,23 @@
         if self.by_router.is_empty() {
             return false;
         }
-        let resting = self.by_router.values().filter(|rest| rest.left(now).is_some()).count();
+        let resting = self.by_router.values().filter(|rest| rest.remaining(now).is_some()).count();
         resting >= MIN_RESTING_ROUTERS
-            || self.by_router.get(&router).is_some_and(|rest| rest.is_tried(now))
+            || self.by_router.get(&router).is_some_and(|rest| rest.is_probing(now))
     }
 
     /// Records that a request of a router is sent to the engine.
     pub fn record_sent(&mut self, now: Millis, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
-            rest.sent(now);
+            rest.record_sent(now);
         }
     }
 
     /// Records that a request of a router was served.
     pub fn record_served(&mut self, now: Millis, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
-            rest.served(now);
-            if rest.is_forgotten() {
+            rest.record_served(now);
+            if rest.is_cleared() {
                 self.by_router.remove(&router);
             }
         }
@@ -57,7 +57,7 @@
     /// Records that a request of a router has ended, served or not.
     pub fn record_end(&mut self, router: HostId) {
         if let Some(rest) = self.by_router.get_mut(&router) {
-            rest.ended();
+            rest.record_ended();
         }
     }
 
--- a/src/quarantine/inquiry.rs
+++ b/src/quarantine/crash_analysis.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::Fingerprint;
-use super::StartNews;
+use super::StartEvent;
 use super::crash::Crash;
-use super::culprits::{Blame, Suspicion, culprits};
-use super::report::{Observation, Observed};
+use super::culprits::{Blame, QuarantineState, culprits};
+use super::report::{Observation, ObservedEvent};
 use super::starts::Starts;
 use crate::dispatch::Millis;
 use crate::registry::EndpointStart;
@@ -36,7 +36,7 @@
 
 /// The crashes of the last minutes, and whom they are blamed on.
 #[derive(Clone, Debug, Default)]
-pub struct Inquiry {
+pub struct CrashAnalysis {
     crashes: VecDeque<Crash>,
     starts: Starts,
     alive: BTreeMap<EndpointStart, Millis>,
@@ -50,19 +50,19 @@
     reviewed_at: Millis,
 }
 
-impl Inquiry {
+impl CrashAnalysis {
     /// Takes in what a router saw.
-    pub fn take(&mut self, now: Millis, router: HostId, observation: Observation) {
+    pub fn record(&mut self, now: Millis, router: HostId, observation: Observation) {
         let at = now.saturating_sub(observation.ago_ms.into());
         self.has_news = true;
-        match observation.what {
-            Observed::Lost { endpoint, fingerprint, ran_ms } => {
+        match observation.event {
+            ObservedEvent::Lost { endpoint, fingerprint, ran_ms } => {
                 if !self.was_alive(at, &endpoint) && !self.is_innocent(at, &fingerprint) {
                     self.crash(at, router, endpoint).lose(fingerprint, ran_ms);
                 }
             }
-            Observed::Alive(endpoint) => self.alive(now, at, endpoint),
-            Observed::Served(fingerprint) => self.served(at, fingerprint),
+            ObservedEvent::Alive(endpoint) => self.alive(now, at, endpoint),
+            ObservedEvent::Served(fingerprint) => self.served(at, fingerprint),
         }
         self.forget_old(now);
     }
@@ -98,11 +98,11 @@
     }
 
     /// Takes in what became known of starts.
-    pub fn take_starts(&mut self, now: Millis, news: Vec<StartNews>) {
+    pub fn record_starts(&mut self, now: Millis, news: Vec<StartEvent>) {
         for step in news {
             match step {
-                StartNews::Started(start) => self.started(now, &start),
-                StartNews::Gone(endpoint) => self.starts.forget(&endpoint),
+                StartEvent::Started(start) => self.started(now, &start),
+                StartEvent::Gone(endpoint) => self.starts.forget(&endpoint),
             }
         }
     }
@@ -134,7 +134,7 @@
 
     /// A request may run again, by its time or an operator's word: crashes before count no
     /// more.
-    pub fn forgive(&mut self, now: Millis, fingerprint: &Fingerprint) {
+    pub fn discard_losses(&mut self, now: Millis, fingerprint: &Fingerprint) {
         for crash in &mut self.crashes {
             crash.lost.remove(fingerprint);
         }
@@ -166,21 +166,26 @@
     }
 
     /// Looks at all crashes anew.
-    pub fn review(&mut self, now: Millis, suspicion: impl Fn(&Fingerprint) -> Suspicion) -> Review {
+    pub fn review(
+        &mut self,
+        now: Millis,
+        quarantine_state: impl Fn(&Fingerprint) -> QuarantineState,
+    ) -> Review {
         self.forget_old(now);
         self.has_news = false;
         self.reviewed_at = now;
         // Those that were refused elsewhere, by crashes that are not known here, need no
         // more proof.
-        let is_settled =
-            |f: &Fingerprint| suspicion(f) == Suspicion::Refused && !self.blamed.contains(f);
+        let is_settled = |f: &Fingerprint| {
+            quarantine_state(f) == QuarantineState::Refused && !self.blamed.contains(f)
+        };
         let confirmed = self.crashes.iter().filter(|crash| crash.is_confirmed(now));
         let confirmed: Vec<_> = confirmed.collect();
-        let mut blamed = culprits(&confirmed, is_settled, &suspicion);
+        let mut blamed = culprits(&confirmed, is_settled, &quarantine_state);
         let is_blamed = |f: &Fingerprint| blamed.iter().any(|blame| blame.fingerprint == *f);
         let cleared: Vec<_> = self.blamed.iter().filter(|f| !is_blamed(f)).cloned().collect();
         self.blamed = blamed.iter().map(|blame| blame.fingerprint.clone()).collect();
-        blamed.retain(|blame| suspicion(&blame.fingerprint) != Suspicion::Refused);
+        blamed.retain(|blame| quarantine_state(&blame.fingerprint) != QuarantineState::Refused);
         Review { blamed, cleared }
     }
 
--- a/src/rollout.rs
+++ b/src/rollout.rs
@@ -19,12 +19,12 @@
 #[cfg(test)]
 mod tests;
 
-pub use active::{ActiveRollout, Decided, Progress, RolloutEndpoint, ServiceState};
+pub use active::{ActiveRollout, Evaluation, Progress, RolloutEndpoint, ServiceState};
 pub use analysis::{CanaryAnalysis, Finding, Window};
-pub use model::{Order, Ordered, Rollout, Rollouts, Stage, Step};
+pub use model::{Order, OrderOutcome, Rollout, Rollouts, Stage, Step};
 pub use plan::{Decision, Why, canary_permille, decide};
 pub use report::{AnswerCounts, Grant, Grants, Release, Report, RouteTally, ServiceReport};
 pub use rules::RolloutRules;
 pub use shared::SharedRollouts;
-pub use split::{ALL_PERMILLE, Cause, ReleaseChoice, RouterState, Splits};
-pub use tally::{RouterTally, Sample, side_of};
+pub use split::{ALL_PERMILLE, ReleaseChoice, RouterState, SplitReason, TrafficSplitter};
+pub use tally::{RouterTally, TallyKey, release_of};
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -39,19 +39,19 @@
     }
 
     /// The new release failed it: unless all go there, it goes to another.
-    pub fn failed_at_new(&mut self, number: u64) {
+    pub fn record_failure_at_new(&mut self, number: u64) {
         self.drawn = Some((number, Release::Old));
     }
 
     /// The new release has no place for it. Returns whether another may have one.
-    pub fn no_place_at_new(&mut self, number: u64) -> bool {
+    pub fn record_no_place_at_new(&mut self, number: u64) -> bool {
         self.bound.is_none() && self.no_place.replace(number) != Some(number)
     }
 }
 
 /// Why requests go to the releases that they go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum SplitReason {
     /// Nothing is rolled out.
     NoRollout,
     /// The leader granted a part.
@@ -84,11 +84,11 @@
 
 /// How this router divides its requests.
 #[derive(Clone, Debug, Default)]
-pub struct Splits {
+pub struct TrafficSplitter {
     services: HashMap<String, Shares>,
 }
 
-impl Splits {
+impl TrafficSplitter {
     /// Which releases may run a request now; none where no release may. `offset` is a
     /// random number from 0 to 1, from which a route starts that is new.
     pub fn rule(
@@ -97,10 +97,10 @@
         route: &str,
         offset: f64,
         situation: &RouterState<'_>,
-    ) -> (Option<VersionRule>, Cause) {
+    ) -> (Option<VersionRule>, SplitReason) {
         let Some(rollout) = situation.rollout else {
             let rule = turn.bound.clone().map_or(VersionRule::Any, only);
-            return (Some(rule), Cause::NoRollout);
+            return (Some(rule), SplitReason::NoRollout);
         };
         let (rule, cause) = match rollout.stage {
             Stage::Canary | Stage::Shifting => {
@@ -108,8 +108,8 @@
             }
             // The endpoints of the old releases have been retired; another that comes
             // later, in an ordinary replacement, is as good as any.
-            Stage::Done => (VersionRule::Any, Cause::Ended),
-            Stage::RolledBack => (not(rollout), Cause::Ended),
+            Stage::Done => (VersionRule::Any, SplitReason::Ended),
+            Stage::RolledBack => (not(rollout), SplitReason::Ended),
         };
         (same_release(rule, turn, rollout), cause)
     }
@@ -121,11 +121,11 @@
         offset: f64,
         rollout: &Rollout,
         situation: &RouterState<'_>,
-    ) -> (VersionRule, Cause) {
+    ) -> (VersionRule, SplitReason) {
         if !situation.others_take_work {
-            return (VersionRule::Any, Cause::NoOther);
+            return (VersionRule::Any, SplitReason::NoOther);
         }
-        let Some(grant) = situation.grant else { return (not(rollout), Cause::NoGrant) };
+        let Some(grant) = situation.grant else { return (not(rollout), SplitReason::NoGrant) };
         let rule = match self.side(turn, route, offset, rollout, grant) {
             Release::New => VersionRule::Only {
                 version: rollout.order.version.clone(),
@@ -133,7 +133,7 @@
             },
             Release::Old => not(rollout),
         };
-        (rule, Cause::Granted)
+        (rule, SplitReason::Granted)
     }
 
     fn side(
@@ -176,7 +176,7 @@
 
     /// Whether an answer may go on at its release: what goes to the new one beyond its
     /// part is taken off the route's next requests.
-    pub fn go_on(
+    pub fn try_resume(
         &mut self,
         turn: &ReleaseChoice,
         route: &str,
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -7,7 +7,7 @@
 
 /// What a request that was sent counts for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sample {
+pub struct TallyKey {
     /// Its service.
     pub service: String,
     /// The roll-out.
@@ -19,7 +19,7 @@
 }
 
 /// The side of a roll-out that a release is on.
-pub fn side_of(rollout: &Rollout, version: &str) -> Release {
+pub fn release_of(rollout: &Rollout, version: &str) -> Release {
     match rollout.order.version == version {
         true => Release::New,
         false => Release::Old,
@@ -43,7 +43,7 @@
 
 impl RouterTally {
     /// A request runs at an endpoint of a release.
-    pub fn opened(&mut self, service: &str, version: &str) {
+    pub fn record_opened(&mut self, service: &str, version: &str) {
         let releases = match self.open.get_mut(service) {
             Some(releases) => releases,
             None => self.open.entry(service.to_string()).or_default(),
@@ -57,7 +57,7 @@
     }
 
     /// It has ended there.
-    pub fn closed(&mut self, service: &str, version: &str) {
+    pub fn record_closed(&mut self, service: &str, version: &str) {
         let Some(releases) = self.open.get_mut(service) else { return };
         let Some(open) = releases.get_mut(version) else { return };
         *open = open.saturating_sub(1);
@@ -67,23 +67,23 @@
     }
 
     /// A request is sent.
-    pub fn sent(&mut self, sample: &Sample) {
+    pub fn record_sent(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.sent += 1);
     }
 
     /// It could not be sent. Where that was reported meanwhile, it stays counted: the
     /// part of a release is kept to on the safe side.
-    pub fn unsent(&mut self, sample: &Sample) {
+    pub fn record_unsent(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.sent = counts.sent.saturating_sub(1));
     }
 
     /// Its answer was a failure or never came.
-    pub fn failed(&mut self, sample: &Sample) {
+    pub fn record_failed(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.failed += 1);
     }
 
     /// Its answer began well and broke off later.
-    pub fn broke_off(&mut self, sample: &Sample) {
+    pub fn record_truncated(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| {
             counts.failed += 1;
             counts.answered -= 1;
@@ -91,18 +91,18 @@
     }
 
     /// Its answer began well after so many milliseconds.
-    pub fn answered(&mut self, sample: &Sample, ms: f64) {
+    pub fn record_answered(&mut self, sample: &TallyKey, ms: f64) {
         self.count(sample, |counts| counts.add(ms));
     }
 
     /// Its answer began well, at an endpoint that is still cold: how long it took says
     /// nothing of the release.
-    pub fn answered_cold(&mut self, sample: &Sample) {
+    pub fn record_answered_cold(&mut self, sample: &TallyKey) {
         self.count(sample, |counts| counts.answered += 1);
     }
 
     /// Counts, unless a later roll-out of the service has begun.
-    fn count(&mut self, sample: &Sample, add: impl FnOnce(&mut AnswerCounts)) {
+    fn count(&mut self, sample: &TallyKey, add: impl FnOnce(&mut AnswerCounts)) {
         let counted = self.services.entry(sample.service.clone()).or_default();
         if counted.number < sample.number {
             *counted = Counted { number: sample.number, ..Counted::default() };
@@ -114,7 +114,7 @@
 
     /// What there is to report of the roll-outs under way; what belongs to others is
     /// forgotten.
-    pub fn take(&mut self, rollouts: &Rollouts) -> Report {
+    pub fn take_report(&mut self, rollouts: &Rollouts) -> Report {
         let mut counted = std::mem::take(&mut self.services);
         let under_way = rollouts.all().filter(|rollout| !rollout.stage.is_final());
         let services = under_way.map(|rollout| {
@@ -138,7 +138,7 @@
     pub fn put_back(&mut self, report: Report) {
         for ServiceReport { service, number, tallies, .. } in report.services {
             for RouteTally { route, release, answers } in tallies {
-                let sample = Sample { service: service.clone(), number, route, release };
+                let sample = TallyKey { service: service.clone(), number, route, release };
                 self.count(&sample, |counts| counts.merge(&answers));
             }
         }
@@ -146,7 +146,7 @@
 
     fn open_on_old(&self, rollout: &Rollout) -> u32 {
         let releases = self.open.get(&rollout.order.service).into_iter().flatten();
-        let old = releases.filter(|(version, _)| side_of(rollout, version) == Release::Old);
+        let old = releases.filter(|(version, _)| release_of(rollout, version) == Release::Old);
         old.map(|(_, open)| open).sum()
     }
 }
