--- a/src/placement.rs
+++ b/src/placement.rs
@@ -12,7 +12,7 @@
 
 mod choice;
 mod client;
-mod cold_limit;
+mod cold_limiter;
 mod copy;
 mod engine;
 mod engines;
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -4,7 +4,7 @@
 use slab::Slab;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::cold_limit::ColdLimit;
+use super::cold_limiter::ColdLimiter;
 use super::copy::{CopySources, PartCopy};
 use super::engine::{EngineModel, reading_units};
 use super::engines::EngineInfo;
@@ -56,7 +56,7 @@
     /// Whether a router found another endpoint at its address.
     pub is_replaced: bool,
     /// Limits the requests sent to it while it is cold.
-    pub cold_limit: ColdLimit,
+    pub cold_limiter: ColdLimiter,
     /// The rests that it requested, by router.
     pub rests: RouterRests,
 }
@@ -64,12 +64,12 @@
 impl Engine {
     /// An idle engine that is ready.
     pub fn new(now: Millis, info: EngineInfo, reading_share: f64) -> Engine {
-        let mut cold_limit = ColdLimit::default();
-        cold_limit.update(now, info.cold_per_second, info.registration_seq, info.warmup_ms);
+        let mut cold_limiter = ColdLimiter::default();
+        cold_limiter.update(now, info.cold_per_second, info.registration_seq, info.warmup_ms);
         let mut model = EngineModel::new(info.slots, info.memory_tokens, info.rate, reading_share);
         model.set_tokens_per_event(info.tokens_per_event);
         Engine {
-            cold_limit,
+            cold_limiter,
             hash: xxh3_64(info.id.as_bytes()),
             order: order_of(&info.id),
             id: info.id,
@@ -175,7 +175,7 @@
         let sources = self.copy_sources(request);
         let fits = |(_, engine): &(EngineNumber, &Engine)| {
             self.is_candidate(engine, request)
-                && !engine.cold_limit.is_exhausted(self.now, self.rules.cold_part)
+                && !engine.cold_limiter.is_exhausted(self.now, self.rules.cold_part)
         };
         let mut best: Option<(SortKey, EngineNumber)> = None;
         for (number, engine) in self.engines.iter().filter(fits) {
@@ -205,7 +205,8 @@
     pub fn until_cold_engine_is_free(&self, request: &PlacementRequest) -> Option<Millis> {
         let engines = self.engines.iter().map(|(_, engine)| engine);
         let candidates = engines.filter(|engine| self.is_candidate(engine, request));
-        let free = candidates.filter_map(|e| e.cold_limit.next_at(self.now, self.rules.cold_part));
+        let free =
+            candidates.filter_map(|e| e.cold_limiter.next_at(self.now, self.rules.cold_part));
         free.min().map(|at| at.saturating_sub(self.now))
     }
 
--- a/src/placement/cold_limit.rs
+++ b/src/placement/cold_limiter.rs
@@ -46,7 +46,7 @@
 
 /// The requests recently sent to one engine, and until when it is cold.
 #[derive(Clone, Debug, Default)]
-pub struct ColdLimit {
+pub struct ColdLimiter {
     /// Requests per second that it can handle while it is cold; `None` if there is no limit.
     per_second: Option<f64>,
     cold_until: Millis,
@@ -56,7 +56,7 @@
     sent: VecDeque<Millis>,
 }
 
-impl ColdLimit {
+impl ColdLimiter {
     /// Applies a registration: the engine can handle `per_second` requests while it is cold, and
     /// stays cold for `warmup_ms` from the arrival of registration number `seq`. A registration
     /// that was already applied does not extend the time.
@@ -86,7 +86,7 @@
     }
 
     /// Takes over requests that were sent to an earlier start: they may have reached this one.
-    pub fn inherit_sent(&mut self, earlier: ColdLimit) {
+    pub fn inherit_sent(&mut self, earlier: ColdLimiter) {
         self.sent = earlier.sent;
     }
 
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -5,7 +5,7 @@
 use slab::Slab;
 
 use super::choice::{Choice, Chooser, Engine, memory_tokens};
-use super::cold_limit::ColdLimit;
+use super::cold_limiter::ColdLimiter;
 use super::engine::{Observation, RequestKey, reading_units};
 use super::engines::EngineInfo;
 use super::hall_regions::HallRegions;
@@ -100,7 +100,7 @@
                 Some(number) => {
                     let known = &mut self.engines[*number];
                     known.model.set_initial_rate(info.rate);
-                    known.cold_limit.update(
+                    known.cold_limiter.update(
                         now,
                         info.cold_per_second,
                         info.registration_seq,
@@ -112,7 +112,7 @@
                     let id = info.id.clone();
                     let mut engine = Engine::new(now, info, self.rules.reading_share);
                     if let Some(earlier) = earlier {
-                        engine.cold_limit.inherit_sent(earlier);
+                        engine.cold_limiter.inherit_sent(earlier);
                     }
                     self.numbers.insert(id, self.engines.insert(engine));
                 }
@@ -133,8 +133,8 @@
 
     /// Removes an engine that has restarted: the requests sent to the earlier start have ended, and
     /// the new process keeps no prompt parts. Returns the requests recently sent to the earlier
-    /// start, as its cold limit.
-    fn remove_earlier_start(&mut self, info: &EngineInfo) -> Option<ColdLimit> {
+    /// start, as its cold limiter.
+    fn remove_earlier_start(&mut self, info: &EngineInfo) -> Option<ColdLimiter> {
         let number = *self.numbers.get(&info.id)?;
         if self.engines[number].started_at_ms == info.started_at_ms {
             return None;
@@ -143,7 +143,7 @@
         self.numbers.remove(&info.id);
         self.parts.remove_engine(number);
         self.placed.retain(|_, at| *at != number);
-        Some(earlier.cold_limit)
+        Some(earlier.cold_limiter)
     }
 
     /// The number of an engine that has not restarted since `started_at_ms`.
@@ -361,7 +361,7 @@
         engine.queue.insert(to.position.index, planned);
         engine.model.record_sent(now, key, parts, planned.units, tokens);
         engine.model.add_stream(key, request.pause_objective_ms, to.pause_ms);
-        engine.cold_limit.record_sent(now);
+        engine.cold_limiter.record_sent(now);
         engine.rests.record_sent(now, key.0);
         self.placed.insert(key, to.engine);
     }
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::cold_limit::ColdSendPermit;
+use super::cold_limiter::ColdSendPermit;
 use super::engines::engines_of;
 use super::hall_regions::HallRegions;
 use super::message::{FromPlacer, ToPlacer};
--- a/src/placement/tests/warmth.rs
+++ b/src/placement/tests/warmth.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::agree::ELECTION_MS;
-use crate::placement::cold_limit::{ColdLimit, ColdSendPermit};
+use crate::placement::cold_limiter::{ColdLimiter, ColdSendPermit};
 
 /// Requests per second that the users' cold engines can handle, and the number that their rule
 /// allows in any second.
@@ -189,7 +189,7 @@
 
 #[test]
 fn an_engine_that_reports_an_endless_warm_up_stays_cold() {
-    let mut cold_limit = ColdLimit::default();
-    cold_limit.update(1_000, Some(1.0), 1, u64::MAX);
-    assert!(cold_limit.is_exhausted(2_000, 0.0));
+    let mut cold_limiter = ColdLimiter::default();
+    cold_limiter.update(1_000, Some(1.0), 1, u64::MAX);
+    assert!(cold_limiter.is_exhausted(2_000, 0.0));
 }
