--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -4,7 +4,7 @@
 
 use super::Millis;
 use crate::config::{CustomerId, EndpointId, HallSet};
-use crate::wire::{Ending, FromDispatcher, RefuseReason, ToDispatcher, Want};
+use crate::wire::{Completion, FromDispatcher, GrantRequest, RefuseReason, ToDispatcher};
 
 /// Units beyond the last report after which a running request reports again.
 const PROGRESS_UNITS: u32 = 512;
@@ -36,9 +36,9 @@
     /// Send this to the dispatcher.
     Send(ToDispatcher),
     /// It is sent with the next session.
-    Kept,
+    Queued,
     /// The dispatcher asked to refuse the customer for now.
-    Held {
+    Refused {
         /// Why.
         reason: RefuseReason,
         /// Milliseconds after which to come back.
@@ -122,7 +122,7 @@
     }
 
     /// An endpoint asked this router for so many milliseconds of rest.
-    pub fn rested(
+    pub fn record_rest(
         &mut self,
         now: Millis,
         endpoint: EndpointId,
@@ -156,7 +156,7 @@
     }
 
     /// A request wants to run.
-    pub fn submit(&mut self, now: Millis, want: Want) -> Submitted {
+    pub fn submit(&mut self, now: Millis, want: GrantRequest) -> Submitted {
         if let Some(held) = self.held(now, want.customer) {
             return held;
         }
@@ -169,8 +169,8 @@
         };
         self.open.insert(want.seq, request);
         match self.session {
-            Some(_) => Submitted::Send(ToDispatcher::Want(want)),
-            None => Submitted::Kept,
+            Some(_) => Submitted::Send(ToDispatcher::GrantRequest(want)),
+            None => Submitted::Queued,
         }
     }
 
@@ -180,7 +180,7 @@
             self.holds.remove(&customer);
             return None;
         }
-        Some(Submitted::Held { reason: hold.reason, retry_after_ms: (hold.until - now) as u32 })
+        Some(Submitted::Refused { reason: hold.reason, retry_after_ms: (hold.until - now) as u32 })
     }
 
     /// A message arrived on `session`; those of ended sessions are ignored.
@@ -200,8 +200,8 @@
 
     fn granted(&mut self, seq: u64, endpoint: EndpointId, charged: u32, lead: u64) -> Received {
         let Some(request) = self.open.get_mut(&seq) else {
-            let ending = Ending::Unused;
-            return Received::Reply(ToDispatcher::Done { seq, units: 0, ending });
+            let completion = Completion::Unused;
+            return Received::Reply(ToDispatcher::Done { seq, units: 0, completion });
         };
         if request.phase != Phase::Waiting {
             return Received::Nothing;
@@ -248,9 +248,9 @@
     }
 
     /// A running request has ended.
-    pub fn finish(&mut self, seq: u64, units: u32, ending: Ending) -> Option<ToDispatcher> {
+    pub fn finish(&mut self, seq: u64, units: u32, completion: Completion) -> Option<ToDispatcher> {
         self.open.remove(&seq)?;
-        self.session.map(|_| ToDispatcher::Done { seq, units, ending })
+        self.session.map(|_| ToDispatcher::Done { seq, units, completion })
     }
 
     /// A waiting request is given up.
@@ -274,7 +274,7 @@
 impl OpenRequest {
     fn introduce(&self, now: Millis, seq: u64) -> ToDispatcher {
         match self.phase {
-            Phase::Waiting => ToDispatcher::Want(Want {
+            Phase::Waiting => ToDispatcher::GrantRequest(GrantRequest {
                 seq,
                 customer: self.customer,
                 input: self.input,
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -12,10 +12,10 @@
 use super::capacity::{Capacity, EndpointLoad};
 use super::estimate::{FairOrder, SlotRate};
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::wire::{Ending, HostId, RefuseReason, ToDispatcher, Want};
+use crate::wire::{Completion, GrantRequest, HostId, RefuseReason, ToDispatcher};
 
 /// A dispatcher not run for this long may have been replaced: it forgets.
-pub const THAW_MS: Millis = 1_000;
+pub const STALL_RESET_MS: Millis = 1_000;
 /// How long a dispatcher that takes over waits for the routers it may not know.
 pub const RECOVERY_MS: Millis = 300;
 /// How long the grants of a lost router are kept before their slots are freed.
@@ -60,7 +60,7 @@
         /// The customer's lead after the charge, in units over share.
         lead: u64,
         /// Milliseconds that it may wait for others to share its frame.
-        patience_ms: Millis,
+        max_delay_ms: Millis,
         /// Why now.
         waited: Waited,
     },
@@ -80,7 +80,7 @@
         hold_ms: u32,
     },
     /// An endpoint failed and is left out for a router.
-    LeftOut {
+    Exclude {
         /// The router that saw it fail.
         router: HostId,
         /// The endpoint.
@@ -198,13 +198,13 @@
         match message {
             ToDispatcher::Join { .. } => {}
             ToDispatcher::Reach(reach) => self.set_reach(router, reach),
-            ToDispatcher::Want(want) => self.want(now, router, want, &mut out),
+            ToDispatcher::GrantRequest(want) => self.want(now, router, want, &mut out),
             ToDispatcher::Running { seq, customer, endpoint, units } => {
                 self.running(now, router, seq, customer, endpoint, units);
             }
             ToDispatcher::Progress { seq, units } => self.progress(router, seq, units),
-            ToDispatcher::Done { seq, units, ending } => {
-                self.done(now, router, seq, units, ending, &mut out);
+            ToDispatcher::Done { seq, units, completion } => {
+                self.done(now, router, seq, units, completion, &mut out);
             }
             ToDispatcher::Rest { endpoint, time_ms } => {
                 self.capacity.rest(now, router, endpoint, time_ms.into());
@@ -223,7 +223,7 @@
 
     /// A router's session broke: its waiting requests are dropped, its running
     /// ones keep their slots for [`ORPHAN_MS`].
-    pub fn lost(&mut self, now: Millis, router: HostId, session: u64) -> Vec<Decision> {
+    pub fn on_session_lost(&mut self, now: Millis, router: HostId, session: u64) -> Vec<Decision> {
         let mut out = self.notice_stall(now);
         let Some(current) = self.sessions.get_mut(&router) else {
             return out;
@@ -264,7 +264,7 @@
         }
     }
 
-    fn want(&mut self, now: Millis, router: HostId, want: Want, out: &mut Vec<Decision>) {
+    fn want(&mut self, now: Millis, router: HostId, want: GrantRequest, out: &mut Vec<Decision>) {
         if self.granted.contains_key(&(router, want.seq)) {
             return;
         }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -17,7 +17,7 @@
 use super::timing::FIRST_EVENT_OVERHEAD_MS;
 use crate::dispatch::Millis;
 use crate::eligibility::{Candidate, order_of};
-use crate::region::are_apart;
+use crate::region::are_distinct_regions;
 use crate::wire::HostId;
 
 /// Lower bound of a customer's relative service when its allowed wait is computed; the wait does
@@ -298,7 +298,7 @@
 
     /// Extra cost of an engine in another region, in milliseconds of waiting.
     fn region_cost_ms(&self, engine: &Engine) -> f64 {
-        match are_apart(self.from_region, &engine.region) {
+        match are_distinct_regions(self.from_region, &engine.region) {
             true => self.rules.other_region_cost_ms,
             false => 0.0,
         }
@@ -306,7 +306,7 @@
 
     /// Milliseconds of the round trip to an engine, beyond those within a region.
     fn region_round_trip_ms(&self, engine: &Engine) -> f64 {
-        match are_apart(self.from_region, &engine.region) {
+        match are_distinct_regions(self.from_region, &engine.region) {
             true => self.rules.other_region_round_trip_ms,
             false => 0.0,
         }
