--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -25,7 +25,7 @@
 pub struct LocalPlacer {
     me: HostId,
     clock: Clock,
-    current_routing: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Mutex<Placer>,
@@ -36,19 +36,19 @@
     pub fn new(
         me: HostId,
         clock: Clock,
-        current_routing: Arc<CurrentRouting>,
+        routing: Arc<CurrentRouting>,
         registry: Arc<SharedRegistry>,
         regions: Regions,
     ) -> LocalPlacer {
         let mut placer = Placer::default();
         placer.set_hall_regions(HallRegions::new(regions.clone()));
-        LocalPlacer { me, clock, current_routing, registry, regions, placer: Mutex::new(placer) }
+        LocalPlacer { me, clock, routing, registry, regions, placer: Mutex::new(placer) }
     }
 
     /// Places a request, as one of `routers` that share the engines.
     pub fn place(&self, request: PlacementRequest, routers: usize) -> FromPlacer {
         let seq = request.seq;
-        let Some(routing) = self.current_routing.current() else {
+        let Some(routing) = self.routing.current() else {
             return FromPlacer::Unknown { seq };
         };
         let engines = self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -48,7 +48,7 @@
     rules: PlacementRules,
     clock: Clock,
     leading_term: impl Fn() -> Option<u64> + Send + 'static,
-    current_routing: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     sent: SentBytes,
@@ -58,7 +58,7 @@
     placer.set_hall_regions(HallRegions::new(regions.clone()));
     let task = Task {
         clock,
-        current_routing,
+        routing,
         registry,
         regions,
         placer,
@@ -98,7 +98,7 @@
 
 struct Task {
     clock: Clock,
-    current_routing: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Placer,
@@ -111,7 +111,7 @@
 
 impl Task {
     async fn run(mut self, mut inbox: mpsc::Receiver<Event>) {
-        let mut routing = self.current_routing.watch();
+        let mut routing = self.routing.watch();
         let mut changes = self.registry.watch();
         let mut refreshed_at = Instant::now();
         let mut refresh_at = refreshed_at;
@@ -148,7 +148,7 @@
 
     fn refresh_engines(&mut self) {
         self.update_cold_part(self.clock.now());
-        if let Some(routing) = self.current_routing.current() {
+        if let Some(routing) = self.routing.current() {
             let engines =
                 self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
             self.placer.set_engines(self.clock.now(), engines);
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -91,16 +91,12 @@
     };
     tokio::spawn(host.clone().serve(incoming));
     let (router, _) = start_peers(Role::Router, first + 1, vec![peer_address(first)]).await;
-    let current_routing = Arc::new(CurrentRouting::default());
+    let routing = Arc::new(CurrentRouting::default());
     let registry = Arc::new(SharedRegistry::default());
-    let followed = Followed {
-        documents: current_routing.clone(),
-        registry: registry.clone(),
-        ..Followed::default()
-    };
+    let followed =
+        Followed { documents: routing.clone(), registry: registry.clone(), ..Followed::default() };
     let followed = Subscriptions::start(router.clone(), followed, "a", Role::Router);
-    let local =
-        LocalPlacer::new(router.me, router.clock, current_routing, registry, Default::default());
+    let local = LocalPlacer::new(router.me, router.clock, routing, registry, Default::default());
     let client = PlacementClient::start(router, followed, local, "a".into(), LoopLag::default());
     wait_until(|| host.sessions_accepted.load(Ordering::SeqCst) > 0).await;
     (host, client)
