--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -48,9 +48,7 @@
     /// Places a request, as one of `routers` that share the engines.
     pub fn place(&self, request: PlacementRequest, routers: usize) -> FromPlacer {
         let seq = request.seq;
-        let Some(routing) = self.routing.current() else {
-            return FromPlacer::Unknown { seq };
-        };
+        let Some(routing) = self.routing.current() else { return FromPlacer::Unknown { seq } };
         let engines = self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
         let defaults = PlacementRules::default();
         let part = (LOCAL_SHARE_FACTOR / routers.max(1) as f64).min(1.0);
