--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use rand::RngExt;
 
-use super::header_names::CallHead;
+use super::header_names::RequestHead;
 use super::refusal::Refusal;
 use super::request::Call;
 use super::state::Gateway;
@@ -22,11 +22,11 @@
 pub(super) async fn admit(
     gateway: &Arc<Gateway>,
     parts: Parts,
-    head: CallHead,
+    head: RequestHead,
     body: Incoming,
 ) -> Result<Call, Refusal> {
     let arrived = BootInstant::now();
-    let presence = gateway.enter();
+    let in_flight = gateway.track_request();
     if gateway.is_refusing() {
         return Err(Refusal::Stopping);
     }
@@ -42,10 +42,10 @@
     };
     let customer = customer.map(|customer| customer.name.clone());
     let timeout = Duration::from_millis(route.timeout_ms);
-    let deadline = head.deadline_ms.map_or(timeout, Duration::from_millis);
-    let limit = arrived + deadline.min(timeout);
+    let caller_timeout = head.deadline_ms.map_or(timeout, Duration::from_millis);
+    let deadline = arrived + caller_timeout.min(timeout);
     let limits = &routing.table.limits;
-    let body_limit = limit.min(arrived + Duration::from_millis(limits.header_timeout_ms));
+    let body_limit = deadline.min(arrived + Duration::from_millis(limits.header_timeout_ms));
     let body = read_body(body, limits.max_body_bytes, body_limit).await?;
     let fingerprint = fingerprint_of(customer.as_deref(), &parts, &body);
     let service = pick_service(&route).ok_or(Refusal::NoEndpoint)?;
@@ -53,13 +53,13 @@
     let routers = gateway.feeds.routers().max(gateway.rules.least_routers);
     gateway.with_budgets(|budgets| {
         budgets.set_routers(routers);
-        budgets.request(now, &service);
+        budgets.record_request(now, &service);
     });
     let number = gateway.next_number();
-    let pool = routing.service(&service);
+    let config = routing.service(&service);
     Ok(Call {
-        is_engine: pool.is_some_and(|pool| pool.engine.is_some()),
-        cold_per_second: pool.and_then(|pool| pool.cold_per_second),
+        is_engine: config.is_some_and(|config| config.engine.is_some()),
+        cold_per_second: config.and_then(|config| config.cold_per_second),
         number,
         route,
         service,
@@ -71,9 +71,9 @@
         body,
         fingerprint,
         arrived,
-        limit,
-        turn: Default::default(),
-        _presence: presence,
+        deadline,
+        release_choice: Default::default(),
+        _in_flight: in_flight,
         gateway: gateway.clone(),
     })
 }
@@ -88,7 +88,7 @@
 fn find_customer<'a>(
     routing: &'a Routing,
     route: &Route,
-    head: &CallHead,
+    head: &RequestHead,
 ) -> Result<Option<&'a CustomerKeys>, Refusal> {
     if !routing.needs_keys() {
         return Ok(None);
@@ -123,8 +123,8 @@
     None
 }
 
-async fn read_body(body: Incoming, most: usize, until: BootInstant) -> Result<Bytes, Refusal> {
-    let reading = Limited::new(body, most).collect();
+async fn read_body(body: Incoming, max_bytes: usize, until: BootInstant) -> Result<Bytes, Refusal> {
+    let reading = Limited::new(body, max_bytes).collect();
     let collected = tokio::time::timeout(until.remaining(), reading).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -30,7 +30,7 @@
 const USED_SLACK: f64 = 0.6;
 
 #[derive(Clone, Debug, Default)]
-struct Service {
+struct ServiceHistory {
     requests: VecDeque<Millis>,
     repeats: VecDeque<Millis>,
 }
@@ -40,7 +40,7 @@
 pub struct RetryBudgets {
     rules: BudgetRules,
     routers: usize,
-    services: HashMap<String, Service>,
+    services: HashMap<String, ServiceHistory>,
 }
 
 impl RetryBudgets {
@@ -55,24 +55,24 @@
     }
 
     /// A request for a service came.
-    pub fn request(&mut self, now: Millis, service: &str) {
+    pub fn record_request(&mut self, now: Millis, service: &str) {
         let window = self.window_ms();
         let entry = match self.services.get_mut(service) {
             Some(entry) => entry,
             None => self.services.entry(service.to_string()).or_default(),
         };
-        forget(&mut entry.requests, now, window);
+        drop_expired(&mut entry.requests, now, window);
         entry.requests.push_back(now);
     }
 
     /// Takes one repeat out of the budget; false when nothing is left.
-    pub fn take(&mut self, now: Millis, service: &str) -> bool {
+    pub fn try_spend(&mut self, now: Millis, service: &str) -> bool {
         let window = self.window_ms();
         let slack = self.rules.slack * USED_SLACK / self.routers as f64;
         let ratio = self.rules.ratio * USED_RATIO;
         let entry = self.services.entry(service.to_string()).or_default();
-        forget(&mut entry.requests, now, window);
-        forget(&mut entry.repeats, now, window);
+        drop_expired(&mut entry.requests, now, window);
+        drop_expired(&mut entry.repeats, now, window);
         let allowed = ratio * entry.requests.len() as f64 + slack;
         let granted = (entry.repeats.len() + 1) as f64 <= allowed;
         if granted {
@@ -86,7 +86,7 @@
     }
 }
 
-fn forget(times: &mut VecDeque<Millis>, now: Millis, window: Millis) {
+fn drop_expired(times: &mut VecDeque<Millis>, now: Millis, window: Millis) {
     while times.front().is_some_and(|at| at + window <= now) {
         times.pop_front();
     }
--- a/src/gateway/callers.rs
+++ b/src/gateway/callers.rs
@@ -14,7 +14,7 @@
 use super::state::Gateway;
 
 /// The smallest buffer that the HTTP library takes, in bytes.
-const MIN_BUFFER: usize = 16 << 10;
+const MIN_BUFFER_BYTES: usize = 16 << 10;
 
 /// How many requests may come on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
         .timer(TokioTimer::new())
         .keep_alive(keep_alive == KeepAlive::UntilIdle)
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
-        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(io), service);
     tokio::pin!(connection);
     let served = tokio::select! {
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -20,11 +20,11 @@
 /// How long a connection to an endpoint may take to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long bytes may stay unacknowledged before a connection counts as dead.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_000);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long an unused connection is kept when the endpoint names no time.
-const IDLE: Duration = Duration::from_millis(2_500);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Connections kept for one endpoint.
-const MAX_IDLE: usize = 12;
+const MAX_IDLE_PER_ENDPOINT: usize = 12;
 /// Subtracted from the time for which an endpoint says it keeps a connection.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
 
@@ -54,7 +54,7 @@
     target: Target,
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    keep: Duration,
+    idle_timeout: Duration,
     idle_since: BootInstant,
     open: Arc<AtomicUsize>,
 }
@@ -78,7 +78,7 @@
         };
         // Without these a connection is only slower to use or to give up.
         let _ = stream.set_nodelay(true);
-        let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+        let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(|error| not_sent(&error))?;
         let task = tokio::spawn(async move {
@@ -88,7 +88,14 @@
         });
         let idle_since = BootInstant::now();
         open.fetch_add(1, Ordering::Relaxed);
-        Ok(Connection { target, sender, driver: task.abort_handle(), keep: IDLE, idle_since, open })
+        Ok(Connection {
+            target,
+            sender,
+            driver: task.abort_handle(),
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
+            idle_since,
+            open,
+        })
     }
 
     /// Sends a request and waits for the head of the answer.
@@ -98,7 +105,7 @@
     ) -> Result<Response<Incoming>, (SendError, Option<Request<Full<Bytes>>>)> {
         match self.sender.try_send_request(request).await {
             Ok(response) => {
-                self.note_keep_alive(&response);
+                self.update_idle_timeout(&response);
                 Ok(response)
             }
             Err(mut failed) => {
@@ -111,21 +118,23 @@
         }
     }
 
-    fn note_keep_alive(&mut self, response: &Response<Incoming>) {
+    fn update_idle_timeout(&mut self, response: &Response<Incoming>) {
         let value = response.headers().get("keep-alive").and_then(|v| v.to_str().ok());
         let mut words = value.into_iter().flat_map(|text| text.split(','));
         let seconds = words.find_map(|word| word.trim().strip_prefix("timeout=")?.parse().ok());
         if let Some(seconds) = seconds {
-            self.keep = Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN);
+            self.idle_timeout = Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN);
         }
         let closes = response.headers().get("connection").and_then(|v| v.to_str().ok());
         if closes.is_some_and(|text| text.eq_ignore_ascii_case("close")) {
-            self.keep = Duration::ZERO;
+            self.idle_timeout = Duration::ZERO;
         }
     }
 
     fn is_usable(&self) -> bool {
-        !self.sender.is_closed() && self.sender.is_ready() && self.idle_since.elapsed() < self.keep
+        !self.sender.is_closed()
+            && self.sender.is_ready()
+            && self.idle_since.elapsed() < self.idle_timeout
     }
 }
 
@@ -133,15 +142,15 @@
 #[derive(Debug)]
 pub struct Connections {
     /// Connections that may be open; beyond them none is kept.
-    most: usize,
+    max_open: usize,
     open: Arc<AtomicUsize>,
     idle: Mutex<HashMap<String, Vec<Connection>>>,
 }
 
 impl Connections {
     /// No connections yet, and at most so many that are kept.
-    pub fn new(most: usize) -> Connections {
-        Connections { most, open: Arc::default(), idle: Mutex::default() }
+    pub fn new(max_open: usize) -> Connections {
+        Connections { max_open, open: Arc::default(), idle: Mutex::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<String, Vec<Connection>>> {
@@ -149,7 +158,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.open.load(Ordering::Relaxed) >= self.most
+        self.open.load(Ordering::Relaxed) >= self.max_open
     }
 
     /// Sends a request to an endpoint, on a kept connection where one is usable. A new
@@ -164,7 +173,7 @@
         if !is_allowed() {
             return Err(SendError::NotAllowed);
         }
-        while let Some(mut kept) = self.take(endpoint, target) {
+        while let Some(mut kept) = self.pop_idle(endpoint, target) {
             match kept.send(request).await {
                 Ok(response) => return Ok((response, kept)),
                 // The endpoint had closed it before anything was written.
@@ -186,7 +195,7 @@
     }
 
     /// Sends a request on a connection of its own, and waits for the head of the answer.
-    pub async fn ask(
+    pub async fn send_on_new(
         &self,
         target: Target,
         request: Request<Full<Bytes>>,
@@ -197,7 +206,7 @@
 
     /// A kept connection to this start of an endpoint. On others an earlier start may have
     /// answered.
-    fn take(&self, endpoint: &str, target: Target) -> Option<Connection> {
+    fn pop_idle(&self, endpoint: &str, target: Target) -> Option<Connection> {
         let mut idle = self.lock();
         let kept = idle.get_mut(endpoint)?;
         while let Some(connection) = kept.pop() {
@@ -209,8 +218,8 @@
     }
 
     /// Keeps a connection whose answer has been read to its end.
-    pub fn keep(&self, endpoint: &str, mut connection: Connection) {
-        if connection.keep.is_zero() || connection.sender.is_closed() || self.is_full() {
+    pub fn keep_idle(&self, endpoint: &str, mut connection: Connection) {
+        if connection.idle_timeout.is_zero() || connection.sender.is_closed() || self.is_full() {
             return;
         }
         connection.idle_since = BootInstant::now();
@@ -219,14 +228,14 @@
             Some(kept) => kept,
             None => idle.entry(endpoint.to_string()).or_default(),
         };
-        kept.retain(|c| !c.sender.is_closed() && c.idle_since.elapsed() < c.keep);
-        if kept.len() < MAX_IDLE {
+        kept.retain(|c| !c.sender.is_closed() && c.idle_since.elapsed() < c.idle_timeout);
+        if kept.len() < MAX_IDLE_PER_ENDPOINT {
             kept.push(connection);
         }
     }
 
     /// Closes the kept connections of an endpoint.
-    pub fn forget(&self, endpoint: &str) {
+    pub fn close_idle(&self, endpoint: &str) {
         self.lock().remove(endpoint);
     }
 }
--- a/src/gateway/placing.rs
+++ b/src/gateway/destination.rs
@@ -12,14 +12,14 @@
 
 /// Times that a placer is asked for one place, where this router knows that the endpoint
 /// which the placer chose takes no work.
-const PLACEMENTS: usize = 3;
+const MAX_PLACEMENT_REQUESTS: usize = 3;
 
 /// Where a request goes next.
-pub(super) enum Place {
+pub(super) enum Destination {
     /// To this endpoint.
-    At(Box<Registration>, Option<Reservation>),
+    Endpoint(Box<Registration>, Option<Reservation>),
     /// No endpoint is known.
-    Nowhere,
+    NoEndpoint,
     /// It cannot be served in time.
     TooLate(placement::Refusal),
 }
@@ -35,37 +35,39 @@
 
     /// Finds a place for the request. Where there is none but at endpoints that are being
     /// asked whether they take work, it waits for their answers a moment.
-    pub async fn place(&self, tried: &[String]) -> Place {
-        match self.place_by_release(tried).await {
-            Place::Nowhere if self.wait_for_start_checks(tried).await => {
-                self.place_by_release(tried).await
+    pub async fn choose_destination(&self, tried: &[String]) -> Destination {
+        match self.choose_by_release(tried).await {
+            Destination::NoEndpoint if self.wait_for_start_checks(tried).await => {
+                self.choose_by_release(tried).await
             }
             place => place,
         }
     }
 
     /// Where the new release of a service has no place, another may have one.
-    async fn place_by_release(&self, tried: &[String]) -> Place {
-        let Some(eligibility) = self.eligibility() else { return Place::Nowhere };
+    async fn choose_by_release(&self, tried: &[String]) -> Destination {
+        let Some(eligibility) = self.eligibility() else { return Destination::NoEndpoint };
         let mut request = self.placement_request(&eligibility, tried);
-        request.has_alternative = self.is_of_a_part(&eligibility.version);
-        match self.place_among(request, tried).await {
-            Place::At(endpoint, reservation) => Place::At(endpoint, reservation),
-            other if !self.gives_up_new(&eligibility.version, &other) => other,
+        request.has_alternative = self.is_partial_traffic(&eligibility.version);
+        match self.choose_among(request, tried).await {
+            Destination::Endpoint(endpoint, reservation) => {
+                Destination::Endpoint(endpoint, reservation)
+            }
+            other if !self.falls_back_from_new(&eligibility.version, &other) => other,
             _ => match self.eligibility() {
-                Some(others) => {
-                    let mut request = self.placement_request(&others, tried);
+                Some(other_releases) => {
+                    let mut request = self.placement_request(&other_releases, tried);
                     request.asked_before = true;
-                    self.place_among(request, tried).await
+                    self.choose_among(request, tried).await
                 }
-                None => Place::Nowhere,
+                None => Destination::NoEndpoint,
             },
         }
     }
 
     /// Engines are chosen by the placer, all else by what this router has seen.
-    async fn place_among(&self, mut request: PlacementRequest, tried: &[String]) -> Place {
-        let times = if self.is_engine { PLACEMENTS } else { 0 };
+    async fn choose_among(&self, mut request: PlacementRequest, tried: &[String]) -> Destination {
+        let times = if self.is_engine { MAX_PLACEMENT_REQUESTS } else { 0 };
         for _ in 0..times {
             match self.gateway.placements.place(request.clone()).await {
                 Placed::At(reservation) => {
@@ -74,23 +76,23 @@
                     // The placer may know an older registration or routing than this
                     // router, and while it was asked a roll-out may have changed.
                     if let Some(endpoint) = endpoint.filter(|e| self.may_be_sent_to(e)) {
-                        return Place::At(Box::new(endpoint), Some(reservation));
+                        return Destination::Endpoint(Box::new(endpoint), Some(reservation));
                     }
                     request.avoid.push(reservation.endpoint.clone());
                     request.asked_before = true;
                 }
-                Placed::Refused(refusal) => return Place::TooLate(refusal),
+                Placed::Refused(refusal) => return Destination::TooLate(refusal),
                 Placed::Alone => break,
             }
         }
-        match self.choose(tried) {
-            Some(endpoint) => Place::At(Box::new(endpoint), None),
-            None => Place::Nowhere,
+        match self.choose_locally(tried) {
+            Some(endpoint) => Destination::Endpoint(Box::new(endpoint), None),
+            None => Destination::NoEndpoint,
         }
     }
 
     /// Chooses an endpoint that was not tried before.
-    fn choose(&self, tried: &[String]) -> Option<Registration> {
+    fn choose_locally(&self, tried: &[String]) -> Option<Registration> {
         let eligibility = self.eligibility()?;
         let now = self.gateway.now();
         let cold = self.gateway.cold_limit(self.cold_per_second, self.is_engine);
@@ -108,7 +110,7 @@
     /// Which endpoints may run it now; none where none may.
     pub(super) fn eligibility(&self) -> Option<Eligibility> {
         let version = self.version_rule()?;
-        Some(Eligibility { regions: self.regions_by_now(), version })
+        Some(Eligibility { regions: self.current_regions(), version })
     }
 
     /// Whether an endpoint may run it.
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -13,13 +13,13 @@
 use crate::wire::HostId;
 
 /// Shortest time for which an endpoint is avoided after a failure.
-const AVOID_MS: Millis = 300;
+const MIN_AVOID_MS: Millis = 300;
 /// Longest time for which an endpoint is avoided.
 const MAX_AVOID_MS: Millis = 4_000;
 /// Endpoints preferred for one prompt.
-const PREFERRED: usize = 2;
+const PREFERRED_ENDPOINTS: usize = 2;
 /// Failures in a row after which an endpoint is avoided, where one may be chance.
-const TOLERATED: u32 = 2;
+const FAILURES_BEFORE_AVOIDING: u32 = 2;
 /// Milliseconds in which requests to a cold endpoint are counted: what it bears is a
 /// rate of a second.
 const SENT_WINDOW_MS: Millis = 1_000;
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct ObservedEndpoint {
     /// The start of the endpoint that was seen. Nothing of it holds of a later one.
     started_at_ms: u64,
     /// The start's revivals when it answered last.
@@ -89,7 +89,7 @@
     /// as it likes.
     fn allowance(&self, id: &str) -> Option<usize> {
         let part = self.per_second? / self.routers.max(1) as f64;
-        let drawn = rank(u64::from(self.router.0), id) as f64 / u64::MAX as f64;
+        let drawn = rendezvous_rank(u64::from(self.router.0), id) as f64 / u64::MAX as f64;
         Some(part as usize + usize::from(drawn < part.fract()))
     }
 }
@@ -97,7 +97,7 @@
 /// What this router has seen of each endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTracker {
-    seen: HashMap<String, Seen>,
+    observed: HashMap<String, ObservedEndpoint>,
     unattributed: UnattributedNotices,
 }
 
@@ -115,7 +115,7 @@
         cold: ColdLimit,
     ) -> Option<&'a Registration> {
         let usable = |r: &&Registration| {
-            let replaced = self.of(r).is_some_and(|s| s.replaced);
+            let replaced = self.observed(r).is_some_and(|o| o.replaced);
             !replaced
                 && !tried.contains(&r.id)
                 && r.address.is_some()
@@ -124,44 +124,45 @@
                 && !self.is_too_cold(now, r, cold)
         };
         let mut usable: Vec<_> = ready.filter(usable).collect();
-        if usable.iter().any(|r| self.is_calm(now, r)) {
-            usable.retain(|r| self.is_calm(now, r));
+        if usable.iter().any(|r| self.is_healthy(now, r)) {
+            usable.retain(|r| self.is_healthy(now, r));
         }
         if let Preference::Affinity(affinity) = preference {
-            usable.sort_by_cached_key(|r| std::cmp::Reverse(rank(affinity, &r.id)));
-            usable.truncate(PREFERRED);
+            usable.sort_by_cached_key(|r| std::cmp::Reverse(rendezvous_rank(affinity, &r.id)));
+            usable.truncate(PREFERRED_ENDPOINTS);
         }
         usable.into_iter().min_by_key(|r| self.load(r, preference))
     }
 
     /// Whether an endpoint is not avoided after failures, nor tried after a rest.
-    pub fn is_calm(&self, now: Millis, endpoint: &Registration) -> bool {
-        self.of(endpoint).is_none_or(|seen| seen.avoid_until <= now && !seen.rest.is_tried(now))
+    pub fn is_healthy(&self, now: Millis, endpoint: &Registration) -> bool {
+        self.observed(endpoint)
+            .is_none_or(|observed| observed.avoid_until <= now && !observed.rest.is_tried(now))
     }
 
     /// Milliseconds for which an endpoint gets nothing because it asked for rest.
     pub fn rest_left(&self, now: Millis, endpoint: &Registration) -> Option<Millis> {
-        self.of(endpoint)?.rest.left(now)
+        self.observed(endpoint)?.rest.left(now)
     }
 
     /// Whether this start of an endpoint may have said that it leaves, rests or ends, and has
     /// not answered since.
     pub fn is_uncertain(&self, now: Millis, endpoint: &Registration) -> bool {
-        let answered = self.of(endpoint).map_or(0, |seen| seen.revivals);
+        let answered = self.observed(endpoint).map_or(0, |observed| observed.revivals);
         if answered < endpoint.revivals {
             return true;
         }
-        start_at(endpoint).is_some_and(|start| self.unattributed.may_be_of(now, start))
+        start_address(endpoint).is_some_and(|start| self.unattributed.may_be_of(now, start))
     }
 
     /// An answer came on a connection that was opened while this start was the latest known.
     pub fn record_notice(&mut self, now: Millis, endpoint: &Registration, notice: &Notice) {
         if endpoint.revivals > 0
-            && let Some(seen) = self.seen_of(&endpoint.id, endpoint.started_at_ms)
+            && let Some(observed) = self.observed_mut(&endpoint.id, endpoint.started_at_ms)
         {
-            seen.revivals = seen.revivals.max(endpoint.revivals);
+            observed.revivals = observed.revivals.max(endpoint.revivals);
         }
-        if let Some(start) = start_at(endpoint) {
+        if let Some(start) = start_address(endpoint) {
             self.unattributed.heard(now, start, notice);
         }
     }
@@ -173,7 +174,7 @@
 
     /// Milliseconds until the first of these endpoints ends its rest; none where one may be
     /// sent to now, or there are none.
-    pub fn all_rest_for<'a>(
+    pub fn first_rest_end_ms<'a>(
         &self,
         now: Millis,
         mut endpoints: impl Iterator<Item = &'a Registration>,
@@ -183,16 +184,16 @@
     }
 
     fn load(&self, endpoint: &Registration, preference: Preference) -> (u64, u64) {
-        let seen = self.of(endpoint);
+        let observed = self.observed(endpoint);
         match preference {
             Preference::Affinity(affinity) => {
-                let tokens = seen.map_or(0, |seen| seen.prompt_tokens);
-                (tokens, rank(affinity, &endpoint.id))
+                let tokens = observed.map_or(0, |observed| observed.prompt_tokens);
+                (tokens, rendezvous_rank(affinity, &endpoint.id))
             }
             Preference::Random(tie) => {
-                let in_flight = seen.map_or(0, |seen| u64::from(seen.in_flight));
+                let in_flight = observed.map_or(0, |observed| u64::from(observed.in_flight));
                 let by_slot = in_flight * 1_000 / u64::from(endpoint.slots.max(1));
-                (by_slot, rank(tie, &endpoint.id))
+                (by_slot, rendezvous_rank(tie, &endpoint.id))
             }
         }
     }
@@ -205,69 +206,76 @@
         let Some(allowance) = cold.allowance(&endpoint.id) else { return false };
         let lately = |at: &&Millis| **at + SENT_WINDOW_MS > now;
         // What was sent to the start before may have reached this one.
-        let sent = self.seen.get(&endpoint.id).map_or(0, |s| s.sent.iter().filter(lately).count());
+        let sent =
+            self.observed.get(&endpoint.id).map_or(0, |o| o.sent.iter().filter(lately).count());
         sent >= allowance
     }
 
     /// What was seen of an endpoint since it started.
-    fn of(&self, endpoint: &Registration) -> Option<&Seen> {
-        self.seen.get(&endpoint.id).filter(|seen| seen.started_at_ms == endpoint.started_at_ms)
+    fn observed(&self, endpoint: &Registration) -> Option<&ObservedEndpoint> {
+        self.observed
+            .get(&endpoint.id)
+            .filter(|observed| observed.started_at_ms == endpoint.started_at_ms)
     }
 
     /// The same, to be changed; none of a start after which a later one was seen.
-    fn seen_of(&mut self, id: &str, started_at_ms: u64) -> Option<&mut Seen> {
-        let seen = self.seen.entry(id.to_string()).or_default();
-        if seen.started_at_ms < started_at_ms {
+    fn observed_mut(&mut self, id: &str, started_at_ms: u64) -> Option<&mut ObservedEndpoint> {
+        let observed = self.observed.entry(id.to_string()).or_default();
+        if observed.started_at_ms < started_at_ms {
             // What was sent a moment ago may have reached this start, which is cold.
-            let sent = std::mem::take(&mut seen.sent);
-            *seen = Seen { started_at_ms, sent, ..Seen::default() };
+            let sent = std::mem::take(&mut observed.sent);
+            *observed = ObservedEndpoint { started_at_ms, sent, ..ObservedEndpoint::default() };
         }
-        (seen.started_at_ms == started_at_ms).then_some(seen)
+        (observed.started_at_ms == started_at_ms).then_some(observed)
     }
 
     /// A request was sent to an endpoint that started at `started_at_ms`.
     pub fn record_sent(&mut self, now: Millis, id: &str, started_at_ms: u64, prompt_tokens: u32) {
-        let Some(seen) = self.seen_of(id, started_at_ms) else { return };
-        while seen.sent.front().is_some_and(|at| at + SENT_WINDOW_MS <= now) {
-            seen.sent.pop_front();
+        let Some(observed) = self.observed_mut(id, started_at_ms) else { return };
+        while observed.sent.front().is_some_and(|at| at + SENT_WINDOW_MS <= now) {
+            observed.sent.pop_front();
         }
-        seen.sent.push_back(now);
-        seen.rest.sent(now);
-        seen.in_flight += 1;
-        seen.prompt_tokens += u64::from(prompt_tokens);
+        observed.sent.push_back(now);
+        observed.rest.sent(now);
+        observed.in_flight += 1;
+        observed.prompt_tokens += u64::from(prompt_tokens);
     }
 
     /// Its prompt has been read: the first event came.
     pub fn record_first_event(&mut self, id: &str, started_at_ms: u64, prompt_tokens: u32) {
-        if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
+        if let Some(observed) =
+            self.observed.get_mut(id).filter(|observed| observed.started_at_ms == started_at_ms)
         {
-            seen.prompt_tokens = seen.prompt_tokens.saturating_sub(u64::from(prompt_tokens));
+            observed.prompt_tokens =
+                observed.prompt_tokens.saturating_sub(u64::from(prompt_tokens));
         }
     }
 
     /// A request has ended.
     pub fn record_end(&mut self, id: &str, started_at_ms: u64) {
-        if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
+        if let Some(observed) =
+            self.observed.get_mut(id).filter(|observed| observed.started_at_ms == started_at_ms)
         {
-            seen.in_flight = seen.in_flight.saturating_sub(1);
-            seen.rest.ended();
+            observed.in_flight = observed.in_flight.saturating_sub(1);
+            observed.rest.ended();
         }
     }
 
     /// A request was answered.
     pub fn record_success(&mut self, now: Millis, id: &str, started_at_ms: u64) {
-        if let Some(seen) = self.seen.get_mut(id).filter(|seen| seen.started_at_ms == started_at_ms)
+        if let Some(observed) =
+            self.observed.get_mut(id).filter(|observed| observed.started_at_ms == started_at_ms)
         {
-            seen.failures = 0;
-            seen.avoid_until = 0;
-            seen.rest.served(now);
+            observed.failures = 0;
+            observed.avoid_until = 0;
+            observed.rest.served(now);
         }
     }
 
     /// It turned a request away and asked for so many milliseconds of rest.
     pub fn record_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
-        if let Some(seen) = self.seen_of(id, started_at_ms) {
-            seen.rest.ask(now, time);
+        if let Some(observed) = self.observed_mut(id, started_at_ms) {
+            observed.rest.ask(now, time);
         }
     }
 
@@ -279,36 +287,36 @@
         started_at_ms: u64,
         failure: Failure,
     ) -> Millis {
-        let Some(seen) = self.seen_of(id, started_at_ms) else { return 0 };
-        seen.failures += 1;
-        seen.replaced |= failure == Failure::Replaced;
+        let Some(observed) = self.observed_mut(id, started_at_ms) else { return 0 };
+        observed.failures += 1;
+        observed.replaced |= failure == Failure::Replaced;
         let at_once = failure == Failure::Unreachable;
-        if !at_once && seen.failures < TOLERATED {
+        if !at_once && observed.failures < FAILURES_BEFORE_AVOIDING {
             return 0;
         }
-        let doubled = AVOID_MS << seen.failures.min(8).saturating_sub(1);
+        let doubled = MIN_AVOID_MS << observed.failures.min(8).saturating_sub(1);
         let avoid = doubled.min(MAX_AVOID_MS);
-        seen.avoid_until = now + avoid;
+        observed.avoid_until = now + avoid;
         avoid
     }
 
     /// Forgets endpoints that are gone.
     pub fn forget(&mut self, id: &str) {
-        if self.seen.get(id).is_some_and(|s| s.in_flight == 0) {
-            self.seen.remove(id);
+        if self.observed.get(id).is_some_and(|o| o.in_flight == 0) {
+            self.observed.remove(id);
         }
     }
 }
 
 /// A start of an endpoint that can be reached.
-fn start_at(endpoint: &Registration) -> Option<StartAt<'_>> {
+fn start_address(endpoint: &Registration) -> Option<StartAt<'_>> {
     let (id, started_at_ms) = (endpoint.id.as_str(), endpoint.started_at_ms);
     endpoint.address.map(|address| StartAt { id, started_at_ms, address })
 }
 
 /// Rendezvous hashing: where requests of one kind go stays the same as endpoints
 /// come and go.
-fn rank(seed: u64, id: &str) -> u64 {
+fn rendezvous_rank(seed: u64, id: &str) -> u64 {
     let mut key = seed.to_be_bytes().to_vec();
     key.extend_from_slice(id.as_bytes());
     xxh3_64(&key)
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Bytes of an event that has no end; longer ones are passed on as they are.
-const MAX_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Collects bytes until events are whole.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
         self.partial.extend_from_slice(bytes);
         let whole = match last_end(&self.partial, searched) {
             Some(end) => self.partial.split_to(end).freeze(),
-            None if self.partial.len() > MAX_EVENT => self.partial.split().freeze(),
+            None if self.partial.len() > MAX_EVENT_BYTES => self.partial.split().freeze(),
             None => return Bytes::new(),
         };
         if let Some(id) = last_event_id(&whole) {
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -13,21 +13,21 @@
 use super::connections::{Connection, SendError, Target};
 use super::endpoints::Failure;
 use super::header_names::Forwarding;
-use super::observed::Observed;
+use super::observation::ReleaseObservation;
 use super::request::Call;
-use super::state::Ticket;
+use super::state::Assignment;
 use super::stream;
 use crate::placement::{Ending, Reservation};
 use crate::registry::Registration;
 use crate::routing::RouteKind;
 
 /// Largest answer that is not a stream, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// A repeatable request is given up at one endpoint after so many times its
 /// objective, to be sent to another.
-const PATIENCE: u64 = 3;
+const ANSWER_TIMEOUT_OBJECTIVES: u64 = 3;
 /// The shortest time for which one endpoint is waited for.
-const LEAST_PATIENCE: Duration = Duration::from_millis(300);
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What came of one attempt.
 pub(super) enum Attempt {
@@ -100,10 +100,10 @@
 }
 
 /// An endpoint's answer under way.
-pub(super) struct Opened {
+pub(super) struct PendingAnswer {
     pub response: Response<Incoming>,
     pub connection: Connection,
-    pub ticket: Ticket,
+    pub assignment: Assignment,
 }
 
 /// Sends a request to one endpoint and waits for its answer, or for the head of
@@ -112,13 +112,13 @@
     call: &Arc<Call>,
     endpoint: &Registration,
     reservation: Option<Reservation>,
-    again: bool,
+    is_retry: bool,
 ) -> Attempt {
-    if again {
+    if is_retry {
         call.gateway.metrics.retries.with_label_values(&[&call.service]).inc();
     }
     match open(call, endpoint, reservation, None).await {
-        Ok(opened) => judge(call, endpoint, opened).await,
+        Ok(pending) => complete_attempt(call, endpoint, pending).await,
         Err(attempt) => attempt,
     }
 }
@@ -130,45 +130,45 @@
     endpoint: &Registration,
     reservation: Option<Reservation>,
     after_event: Option<&str>,
-) -> Result<Opened, Attempt> {
+) -> Result<PendingAnswer, Attempt> {
     let Some(address) = endpoint.address else { return Err(Attempt::NotSent) };
     if !call.gateway.is_near(endpoint) {
         call.gateway.metrics.across.with_label_values(&[&call.service]).inc();
     }
     let tokens = call.prompt_tokens();
-    let observed = Observed::new(call, endpoint);
-    let mut ticket = Ticket::new(&call.gateway, endpoint, tokens, reservation, observed);
-    ticket.set_ending(Ending::Failed);
-    let request = request_for(call, endpoint, ticket.copy_from(), after_event);
-    match head_of_answer(call, endpoint, address, request, &mut ticket).await {
-        Ok((response, connection)) => Ok(Opened { response, connection, ticket }),
+    let observation = ReleaseObservation::new(call, endpoint);
+    let mut assignment = Assignment::new(&call.gateway, endpoint, tokens, reservation, observation);
+    assignment.set_completion(Ending::Failed);
+    let request = request_for(call, endpoint, assignment.copy_from(), after_event);
+    match send_and_await_head(call, endpoint, address, request, &mut assignment).await {
+        Ok((response, connection)) => Ok(PendingAnswer { response, connection, assignment }),
         Err(attempt) => {
-            ticket.observed.note(&attempt);
+            assignment.observation.record_attempt(&attempt);
             Err(attempt)
         }
     }
 }
 
-async fn head_of_answer(
+async fn send_and_await_head(
     call: &Arc<Call>,
     endpoint: &Registration,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    ticket: &mut Ticket,
+    assignment: &mut Assignment,
 ) -> Result<(Response<Incoming>, Connection), Attempt> {
     let is_allowed = || call.may_be_sent_to(endpoint);
     let target = Target { address, started_at_ms: endpoint.started_at_ms };
     let exchange = call.gateway.connections.send(&endpoint.id, target, request, is_allowed);
-    match tokio::time::timeout(patience(call), exchange).await {
+    match tokio::time::timeout(answer_timeout(call), exchange).await {
         Ok(Ok((response, connection))) => {
-            let rests = call.take_notice(endpoint, &response);
+            let requests_rest = call.apply_notice(endpoint, &response);
             if response.status() == StatusCode::MISDIRECTED_REQUEST {
-                ticket.set_ending(Ending::Replaced);
-            } else if rests {
-                ticket.set_ending(Ending::Abandoned);
+                assignment.set_completion(Ending::Replaced);
+            } else if requests_rest {
+                assignment.set_completion(Ending::Abandoned);
             }
-            check_head(call, endpoint, &response, rests)?;
-            call.answered_by(ticket);
+            check_head(call, endpoint, &response, requests_rest)?;
+            call.record_answer_began(assignment);
             Ok((response, connection))
         }
         Ok(Err(SendError::NotAllowed)) => {
@@ -177,52 +177,59 @@
                 call.number,
                 endpoint.id
             );
-            ticket.set_ending(Ending::Abandoned);
+            assignment.set_completion(Ending::Abandoned);
             Err(Attempt::NotSent)
         }
-        Ok(Err(SendError::NotSent(why))) => {
-            log::info!("gateway: request {} not sent to {}: {why}", call.number, endpoint.id);
-            call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Unreachable);
-            ticket.observed.failed();
+        Ok(Err(SendError::NotSent(reason))) => {
+            log::info!("gateway: request {} not sent to {}: {reason}", call.number, endpoint.id);
+            call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Unreachable);
+            assignment.observation.record_failed();
             Err(Attempt::NotSent)
         }
-        Ok(Err(SendError::Unknown(why))) => Err(lost(call, endpoint, ticket, &why)),
+        Ok(Err(SendError::Unknown(reason))) => {
+            Err(answer_lost(call, endpoint, assignment, &reason))
+        }
         Err(_) => {
-            call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+            call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
             log::info!("gateway: request {} got no answer of {}", call.number, endpoint.id);
             // Kept connections may be dead as well, and each would cost another request its
             // whole time: six of six in a test, one with this.
-            call.gateway.connections.forget(&endpoint.id);
+            call.gateway.connections.close_idle(&endpoint.id);
             Err(Attempt::TimedOut)
         }
     }
 }
 
 /// The endpoint ended the connection before the whole answer.
-fn lost(call: &Call, endpoint: &Registration, ticket: &Ticket, why: &str) -> Attempt {
-    call.lost_at(ticket, why);
-    call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+fn answer_lost(
+    call: &Call,
+    endpoint: &Registration,
+    assignment: &Assignment,
+    reason: &str,
+) -> Attempt {
+    call.record_lost_answer(assignment, reason);
+    call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
     Attempt::Unknown
 }
 
-fn unknown(call: &Call, endpoint: &Registration, why: &str) -> Attempt {
+fn reject_foreign_answer(call: &Call, endpoint: &Registration, reason: &str) -> Attempt {
     log::info!(
-        "gateway: request {} got no answer of its own at {}: {why}",
+        "gateway: request {} got no answer of its own at {}: {reason}",
         call.number,
         endpoint.id
     );
-    call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+    call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
     Attempt::Unknown
 }
 
 /// How long an endpoint is waited for.
-fn patience(call: &Call) -> Duration {
+fn answer_timeout(call: &Call) -> Duration {
     let remaining = call.remaining();
     if !call.route.may_repeat() || call.route.attempts < 2 {
         return remaining;
     }
-    let patience = Duration::from_millis(call.route.objective_ms * PATIENCE);
-    remaining.min(patience.max(LEAST_PATIENCE))
+    let timeout = Duration::from_millis(call.route.objective_ms * ANSWER_TIMEOUT_OBJECTIVES);
+    remaining.min(timeout.max(MIN_ANSWER_TIMEOUT))
 }
 
 /// Whether a head is the endpoint's own answer to this request. One that asks for rest gets
@@ -231,7 +238,7 @@
     call: &Call,
     endpoint: &Registration,
     response: &Response<Incoming>,
-    rests: bool,
+    requests_rest: bool,
 ) -> Result<(), Attempt> {
     let head = call.gateway.header_names.read_answer(response.headers());
     let status = response.status();
@@ -239,62 +246,66 @@
         let replaced = status == StatusCode::MISDIRECTED_REQUEST;
         let failure = if replaced { Failure::Replaced } else { Failure::Rejected };
         log::info!("gateway: request {} not run by {}: {status}", call.number, endpoint.id);
-        if !rests {
-            call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, failure);
+        if !requests_rest {
+            call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, failure);
         }
         return Err(Attempt::NotExecuted);
     }
     if head.id != call.head.id {
-        return Err(unknown(call, endpoint, "the answer is another request's"));
+        return Err(reject_foreign_answer(call, endpoint, "the answer is another request's"));
     }
     if !head.sealed {
-        return Err(unknown(call, endpoint, "the answer is not the endpoint's"));
+        return Err(reject_foreign_answer(call, endpoint, "the answer is not the endpoint's"));
     }
     Ok(())
 }
 
-async fn judge(call: &Arc<Call>, endpoint: &Registration, opened: Opened) -> Attempt {
+async fn complete_attempt(
+    call: &Arc<Call>,
+    endpoint: &Registration,
+    pending: PendingAnswer,
+) -> Attempt {
     let streams = call.route.kind == RouteKind::Streaming;
-    if opened.response.status().is_success() && streams {
-        call.gateway.note_success(endpoint);
-        return Attempt::Answered(stream::relay(call, opened));
+    if pending.response.status().is_success() && streams {
+        call.gateway.record_success(endpoint);
+        return Attempt::Answered(stream::relay(call, pending));
     }
-    let Opened { response, connection, mut ticket } = opened;
-    let attempt = whole(call, endpoint, response, connection, &ticket).await;
+    let PendingAnswer { response, connection, mut assignment } = pending;
+    let attempt = read_complete_answer(call, endpoint, response, connection, &assignment).await;
     if matches!(attempt, Attempt::Answered(_)) {
-        ticket.set_ending(Ending::Served);
+        assignment.set_completion(Ending::Served);
     }
-    ticket.observed.note(&attempt);
+    assignment.observation.record_attempt(&attempt);
     attempt
 }
 
 /// Reads a whole answer before any of it is passed on.
-async fn whole(
+async fn read_complete_answer(
     call: &Call,
     endpoint: &Registration,
     response: Response<Incoming>,
     connection: Connection,
-    ticket: &Ticket,
+    assignment: &Assignment,
 ) -> Attempt {
     let (mut head, body) = response.into_parts();
-    let reading = Limited::new(body, MAX_ANSWER).collect();
+    let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let body = match tokio::time::timeout(call.remaining(), reading).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(error)) => return lost(call, endpoint, ticket, &error.to_string()),
+        Ok(Err(error)) => return answer_lost(call, endpoint, assignment, &error.to_string()),
         Err(_) => return Attempt::TimedOut,
     };
-    call.gateway.connections.keep(&endpoint.id, connection);
+    call.gateway.connections.keep_idle(&endpoint.id, connection);
     strip_connection_headers(&mut head.headers);
     if call.parts.method != axum::http::Method::HEAD {
         head.headers.remove(header::CONTENT_LENGTH);
     }
-    call.served();
+    call.record_served();
     let failed = head.status.is_server_error();
     let response = Response::from_parts(head, Body::from(body));
     if failed {
-        call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+        call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
         return Attempt::Error(response);
     }
-    call.gateway.note_success(endpoint);
+    call.gateway.record_success(endpoint);
     Attempt::Answered(response)
 }
--- a/src/gateway/header_names.rs
+++ b/src/gateway/header_names.rs
@@ -19,7 +19,7 @@
 
 /// What a request's head says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallHead {
+pub struct RequestHead {
     /// The caller's id for this attempt.
     pub id: Option<String>,
     /// The caller's key.
@@ -116,10 +116,10 @@
     }
 
     /// Reads a request's head.
-    pub fn read_call(&self, headers: &HeaderMap) -> CallHead {
+    pub fn read_call(&self, headers: &HeaderMap) -> RequestHead {
         let tokens = text(headers, &self.tokens).map(token_counts);
         let (prompt_tokens, output_tokens) = tokens.unwrap_or_default();
-        CallHead {
+        RequestHead {
             id: text(headers, &self.id).map(str::to_string),
             key: text(headers, &self.key).map(str::to_string),
             deadline_ms: text(headers, &self.deadline).and_then(|t| t.trim().parse().ok()),
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -3,52 +3,54 @@
 
 use super::refusal::Refusal;
 use super::request::Call;
-use super::state::Ticket;
+use super::state::Assignment;
 use crate::registry::EndpointStart;
 
 /// Characters of a path that a log line shows.
-const PATH_SHOWN: usize = 80;
+const MAX_LOGGED_PATH_CHARS: usize = 80;
 
 impl Call {
     /// The endpoint ended the connection before the whole answer: it crashed, or the
     /// connection broke.
-    pub(super) fn lost_at(&self, ticket: &Ticket, why: &str) {
+    pub(super) fn record_lost_answer(&self, assignment: &Assignment, reason: &str) {
         self.gateway.metrics.lost.with_label_values(&[&self.service]).inc();
-        let ran = ticket.observed.sent_ago();
+        let since_sent = assignment.observation.sent_ago();
         log::info!(
-            "gateway: request {} ({}) lost at {}, started at {}, {} ms after it was sent: {why}; \
-             path {:.PATH_SHOWN$}, fingerprint {}",
+            "gateway: request {} ({}) lost at {}, started at {}, {} ms after it was sent: {reason}; \
+             path {:.MAX_LOGGED_PATH_CHARS$}, fingerprint {}",
             self.number,
             self.head.id.as_deref().unwrap_or_default(),
-            ticket.endpoint,
-            ticket.started_at_ms,
-            ran.as_millis(),
+            assignment.endpoint,
+            assignment.started_at_ms,
+            since_sent.as_millis(),
             self.parts.uri.path(),
             self.fingerprint,
         );
-        let endpoint =
-            EndpointStart { id: ticket.endpoint.clone(), started_at_ms: ticket.started_at_ms };
-        self.gateway.guard.lost(endpoint, &self.fingerprint, ran);
+        let endpoint = EndpointStart {
+            id: assignment.endpoint.clone(),
+            started_at_ms: assignment.started_at_ms,
+        };
+        self.gateway.guard.lost(endpoint, &self.fingerprint, since_sent);
     }
 
     /// The endpoint began its own answer to this request: it is there.
-    pub(super) fn answered_by(&self, ticket: &Ticket) {
-        let sent_ago = ticket.observed.sent_ago();
-        self.gateway.guard.answered(&ticket.endpoint, ticket.started_at_ms, sent_ago);
+    pub(super) fn record_answer_began(&self, assignment: &Assignment) {
+        let sent_ago = assignment.observation.sent_ago();
+        self.gateway.guard.answered(&assignment.endpoint, assignment.started_at_ms, sent_ago);
     }
 
     /// The endpoint sends on its answer: it is there.
-    pub(super) fn heard_from(&self, ticket: &Ticket) {
-        self.gateway.guard.heard(&ticket.endpoint, ticket.started_at_ms);
+    pub(super) fn record_stream_data(&self, assignment: &Assignment) {
+        self.gateway.guard.heard(&assignment.endpoint, assignment.started_at_ms);
     }
 
     /// It was served whole.
-    pub(super) fn served(&self) {
+    pub(super) fn record_served(&self) {
         self.gateway.guard.served(&self.fingerprint);
     }
 
     /// Why it is not sent to any endpoint, if it crashes them.
-    pub(super) fn crashes_endpoints(&self) -> Option<Refusal> {
+    pub(super) fn crash_refusal(&self) -> Option<Refusal> {
         let has_leader = || self.gateway.feeds.leader().is_some();
         let retry_after_ms = self.gateway.guard.refusal(&self.fingerprint, has_leader)?;
         Some(Refusal::CrashesEndpoints { retry_after_ms })
--- a/src/gateway/nearby.rs
+++ b/src/gateway/nearby.rs
@@ -21,7 +21,7 @@
         preference: Preference,
         cold: ColdLimit,
     ) -> Option<&'a Registration> {
-        let near = ready.iter().copied().filter(|e| is_near(e) && self.is_calm(now, e));
+        let near = ready.iter().copied().filter(|e| is_near(e) && self.is_healthy(now, e));
         let nearest = self.choose(now, near, tried, preference, cold);
         nearest.or_else(|| self.choose(now, ready.iter().copied(), tried, preference, cold))
     }
@@ -38,7 +38,7 @@
 impl Call {
     /// Where it may be served. What was allowed when it came bounds it to its end; a
     /// configuration that came since bounds what is sent from then on too.
-    pub(super) fn regions_by_now(&self) -> AllowedRegions {
+    pub(super) fn current_regions(&self) -> AllowedRegions {
         let newest = self.gateway.documents.current();
         let newest = newest.filter(|newest| newest.table.version != self.routing_version);
         let Some(newest) = newest else { return self.regions.clone() };
@@ -49,19 +49,19 @@
     }
 
     /// Why no endpoint was found for a request that was not sent yet.
-    pub(super) fn why_nowhere(&self) -> Refusal {
+    pub(super) fn no_endpoint_reason(&self) -> Refusal {
         let known = &self.gateway.settings.host.regions;
-        let allowed = self.regions_by_now();
+        let allowed = self.current_regions();
         self.gateway.registry.read(|registry| {
             let ready = registry.ready(&self.service);
-            why_nowhere(&allowed, ready.map(|e| known.of(&e.hall)))
+            no_endpoint_reason(&allowed, ready.map(|e| known.of(&e.hall)))
         })
     }
 }
 
 /// Why none of the endpoints in these regions was found for a request: the regions that
 /// it is allowed to be served in are the reason only where none of them is in one.
-pub(super) fn why_nowhere<'a>(
+pub(super) fn no_endpoint_reason<'a>(
     allowed: &AllowedRegions,
     mut ready: impl Iterator<Item = &'a str>,
 ) -> Refusal {
--- a/src/gateway/neighbours.rs
+++ b/src/gateway/neighbours.rs
@@ -11,16 +11,16 @@
 
 /// Milliseconds for which a router that said no, or nothing, is not asked again: its
 /// load is a mean over some 200 ms.
-pub(super) const REFUSED_MS: Millis = 500;
+pub(super) const REFUSAL_BACKOFF_MS: Millis = 500;
 /// Milliseconds after which the list of routers is asked for again. A host that is
 /// gone says nothing, and is left out by that.
-pub(super) const RENEW_MS: Millis = 2_000;
+pub(super) const REFRESH_INTERVAL_MS: Millis = 2_000;
 
 /// What is known of the other routers of the data hall.
 #[derive(Clone, Debug, Default)]
 pub struct Neighbours {
     refused_until: HashMap<HostId, Millis>,
-    renewed: Option<Millis>,
+    refreshed_at: Option<Millis>,
 }
 
 impl Neighbours {
@@ -33,16 +33,17 @@
     }
 
     /// A router said no, or nothing.
-    pub fn refused(&mut self, now: Millis, host: HostId) {
+    pub fn record_refusal(&mut self, now: Millis, host: HostId) {
         self.refused_until.retain(|_, until| *until > now);
-        self.refused_until.insert(host, now + REFUSED_MS);
+        self.refused_until.insert(host, now + REFUSAL_BACKOFF_MS);
     }
 
     /// Whether the list of routers is to be asked for; it then counts as asked for.
-    pub fn renew(&mut self, now: Millis) -> bool {
-        let is_due = self.renewed.is_none_or(|renewed| now >= renewed + RENEW_MS);
+    pub fn start_refresh_if_due(&mut self, now: Millis) -> bool {
+        let is_due =
+            self.refreshed_at.is_none_or(|refreshed_at| now >= refreshed_at + REFRESH_INTERVAL_MS);
         if is_due {
-            self.renewed = Some(now);
+            self.refreshed_at = Some(now);
         }
         is_due
     }
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -15,7 +15,7 @@
 impl Call {
     /// Takes in what the head of an answer says of its endpoint, whatever became of the
     /// request. Returns whether it asks for rest.
-    pub(super) fn take_notice(
+    pub(super) fn apply_notice(
         &self,
         endpoint: &Registration,
         response: &Response<Incoming>,
@@ -26,19 +26,19 @@
             return false;
         }
         let notice = self.gateway.header_names.read_notice(status, response.headers());
-        self.gateway.take_notice(endpoint, &notice);
+        self.gateway.apply_notice(endpoint, &notice);
         notice.rest.time().is_some()
     }
 
     /// Milliseconds until the first endpoint that may serve it ends its rest, where all of
     /// them rest.
-    pub(super) fn all_rest_for(&self) -> Option<Millis> {
+    pub(super) fn first_rest_end_ms(&self) -> Option<Millis> {
         let eligibility = self.eligibility()?;
         let now = self.gateway.now();
         self.gateway.registry.read(|registry| {
             let ready = registry.ready(&self.service);
             let may_serve = ready.filter(|e| self.is_eligible(&eligibility, e));
-            self.gateway.with_endpoints(|endpoints| endpoints.all_rest_for(now, may_serve))
+            self.gateway.with_endpoints(|endpoints| endpoints.first_rest_end_ms(now, may_serve))
         })
     }
 }
@@ -46,23 +46,23 @@
 impl Gateway {
     /// Takes in what an answer says of its endpoint. It came on a connection that was opened
     /// while `endpoint` was the latest start known.
-    pub(super) fn take_notice(self: &Arc<Self>, endpoint: &Registration, notice: &Notice) {
+    pub(super) fn apply_notice(self: &Arc<Self>, endpoint: &Registration, notice: &Notice) {
         let now = self.now();
         self.with_endpoints(|endpoints| endpoints.record_notice(now, endpoint, notice));
         if notice.leaves {
             self.count_notice(endpoint, "leaves");
-            self.leaves(EndpointStart::of(endpoint));
+            self.record_leaving(EndpointStart::of(endpoint));
         }
         match &notice.rest {
             RestAsked::None => {}
-            RestAsked::For(time) => {
+            RestAsked::For(rest_ms) => {
                 self.count_notice(endpoint, "rests");
-                log::info!("gateway: endpoint {} asks for {time} ms of rest", endpoint.id);
-                self.rests(endpoint, *time);
+                log::info!("gateway: endpoint {} asks for {rest_ms} ms of rest", endpoint.id);
+                self.record_rest(endpoint, *rest_ms);
             }
-            RestAsked::Unreadable(says) => {
+            RestAsked::Unreadable(value) => {
                 self.count_notice(endpoint, "unreadable");
-                log::info!("gateway: endpoint {} asks for no time: {says:?}", endpoint.id);
+                log::info!("gateway: endpoint {} asks for no rest_ms: {value:?}", endpoint.id);
             }
         }
         // A later start may have become known while the answer was under way.
@@ -92,17 +92,17 @@
     }
 
     /// An endpoint wants nothing from this router for so long.
-    fn rests(&self, endpoint: &Registration, time: Millis) {
+    fn record_rest(&self, endpoint: &Registration, rest_ms: Millis) {
         let now = self.now();
         let (id, started_at_ms) = (&endpoint.id, endpoint.started_at_ms);
-        self.with_endpoints(|endpoints| endpoints.record_rest(now, id, started_at_ms, time));
-        self.placements.rest(StartOf { endpoint: id, started_at_ms }, time);
+        self.with_endpoints(|endpoints| endpoints.record_rest(now, id, started_at_ms, rest_ms));
+        self.placements.rest(StartOf { endpoint: id, started_at_ms }, rest_ms);
     }
 
     /// An endpoint told this router that it leaves. From here on that is known as if it had
     /// registered so: the control host that it told may be cut off from all that this router
     /// hears, and its answers are the only news.
-    fn leaves(&self, start: EndpointStart) {
+    fn record_leaving(&self, start: EndpointStart) {
         let starts = [start];
         if self.registry.leave(&starts, Hearing::SecondHand) {
             log::info!("gateway: endpoint {} says in an answer that it leaves", starts[0].id);
--- a/src/gateway/observed.rs
+++ b/src/gateway/observation.rs
@@ -12,7 +12,7 @@
 use crate::rollout::{Release, Sample, side_of};
 
 /// A request at an endpoint; it counts as open at the endpoint's release until dropped.
-pub(super) struct Observed {
+pub(super) struct ReleaseObservation {
     gateway: Arc<Gateway>,
     service: String,
     /// The endpoint's release.
@@ -25,9 +25,9 @@
     has_failed: bool,
 }
 
-impl Observed {
+impl ReleaseObservation {
     /// A request that is about to be sent.
-    pub fn new(call: &Call, endpoint: &Registration) -> Observed {
+    pub fn new(call: &Call, endpoint: &Registration) -> ReleaseObservation {
         let gateway = call.gateway.clone();
         let table = gateway.rollouts.table();
         let rollout = table.get(&call.service).filter(|rollout| !rollout.stage.is_final());
@@ -43,7 +43,7 @@
                 releases.tally.sent(sample);
             }
         });
-        let observed = Observed {
+        let observation = ReleaseObservation {
             gateway,
             service: call.service.clone(),
             version: endpoint.version.clone(),
@@ -53,8 +53,8 @@
             has_answered: false,
             has_failed: false,
         };
-        observed.count("sent");
-        observed
+        observation.count("sent");
+        observation
     }
 
     /// How long ago it was sent.
@@ -63,17 +63,17 @@
     }
 
     /// What came of the attempt, up to its whole answer or to the head of a stream.
-    pub fn note(&mut self, attempt: &Attempt) {
+    pub fn record_attempt(&mut self, attempt: &Attempt) {
         match attempt {
-            Attempt::Answered(_) => self.answered(),
-            Attempt::Error(_) | Attempt::Unknown | Attempt::TimedOut => self.failed(),
-            Attempt::NotSent => self.unsent(),
+            Attempt::Answered(_) => self.record_answered(),
+            Attempt::Error(_) | Attempt::Unknown | Attempt::TimedOut => self.record_failed(),
+            Attempt::NotSent => self.record_unsent(),
             Attempt::NotExecuted => {}
         }
     }
 
     /// Its answer began well.
-    pub fn answered(&mut self) {
+    pub fn record_answered(&mut self) {
         let Some(sample) = &self.sample else { return };
         if std::mem::replace(&mut self.has_answered, true) {
             return;
@@ -87,7 +87,7 @@
 
     /// Its answer is a failure, broke off or never came; or nobody listens at the
     /// endpoint, as where a release ends by itself.
-    pub fn failed(&mut self) {
+    pub fn record_failed(&mut self) {
         if std::mem::replace(&mut self.has_failed, true) {
             return;
         }
@@ -100,7 +100,7 @@
         self.count("failed");
     }
 
-    fn unsent(&self) {
+    fn record_unsent(&self) {
         if self.has_failed {
             return;
         }
@@ -122,7 +122,7 @@
     }
 }
 
-impl Drop for Observed {
+impl Drop for ReleaseObservation {
     fn drop(&mut self) {
         self.gateway.with_releases(|r| r.tally.closed(&self.service, &self.version));
     }
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -58,7 +58,7 @@
 
 impl OverloadRules {
     /// Connections that callers may hold: each may need one to an endpoint.
-    pub fn caller_connections(&self) -> usize {
+    pub fn max_caller_connections(&self) -> usize {
         (self.descriptors - self.descriptors * RESERVED_PERCENT / 100) / 2
     }
 }
@@ -69,7 +69,7 @@
     rules: OverloadRules,
     lag: Duration,
     connections: usize,
-    unready: bool,
+    is_unready: bool,
     handing_over: bool,
 }
 
@@ -77,7 +77,7 @@
     /// An idle router.
     pub fn new(rules: OverloadRules) -> Overload {
         let handing_over = rules.hand_over_lag_ms == 0;
-        Overload { rules, lag: Duration::ZERO, connections: 0, unready: false, handing_over }
+        Overload { rules, lag: Duration::ZERO, connections: 0, is_unready: false, handing_over }
     }
 
     /// Takes in the lag of the event loop; returns whether readiness changed.
@@ -86,14 +86,15 @@
         let hand_over = Duration::from_millis(self.rules.hand_over_lag_ms);
         let from = if self.handing_over { hand_over / 2 } else { hand_over };
         self.handing_over = lag >= from;
-        let limit = if self.unready { self.rules.ready_lag_ms } else { self.rules.unready_lag_ms };
-        let unready = lag >= Duration::from_millis(limit) || self.is_crowded();
-        std::mem::replace(&mut self.unready, unready) != unready
+        let limit =
+            if self.is_unready { self.rules.ready_lag_ms } else { self.rules.unready_lag_ms };
+        let is_unready = lag >= Duration::from_millis(limit) || self.is_crowded();
+        std::mem::replace(&mut self.is_unready, is_unready) != is_unready
     }
 
     /// A caller connects; false where no more connections can be held.
-    pub fn connect(&mut self) -> bool {
-        if self.connections >= self.rules.caller_connections() {
+    pub fn try_add_connection(&mut self) -> bool {
+        if self.connections >= self.rules.max_caller_connections() {
             return false;
         }
         self.connections += 1;
@@ -101,29 +102,29 @@
     }
 
     /// A caller's connection has closed.
-    pub fn disconnect(&mut self) {
+    pub fn remove_connection(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
     fn is_crowded(&self) -> bool {
-        self.connections * 100 >= self.rules.caller_connections() * CROWDED_PERCENT
+        self.connections * 100 >= self.rules.max_caller_connections() * CROWDED_PERCENT
     }
 
     /// Whether new connections should come here.
     pub fn is_ready(&self) -> bool {
-        !self.unready
+        !self.is_unready
     }
 
     /// Whether new connections are handed over to other routers, while this one serves
     /// so many requests itself.
-    pub fn hands_over(&self, serving: usize) -> bool {
+    pub fn should_hand_over(&self, serving: usize) -> bool {
         self.handing_over || serving >= self.rules.hand_over_requests
     }
 
     /// Whether connections that other routers hand over are taken, while this one serves
     /// so many requests itself.
-    pub fn takes_over(&self, serving: usize) -> bool {
-        !self.hands_over(serving) && !self.unready
+    pub fn accepts_handover(&self, serving: usize) -> bool {
+        !self.should_hand_over(serving) && !self.is_unready
     }
 
     /// Whether new requests are refused.
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -4,7 +4,7 @@
 use axum::http::{HeaderValue, Response, StatusCode, header};
 
 /// When to come back if nothing better is known, in seconds.
-const RETRY_AFTER_S: f64 = 0.25;
+const DEFAULT_RETRY_AFTER_S: f64 = 0.25;
 
 /// Why the gateway itself ends a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,7 +81,7 @@
     }
 
     /// Whether the rest of the caller's connection cannot be used any more.
-    fn closes(self) -> bool {
+    fn closes_connection(self) -> bool {
         matches!(
             self,
             Refusal::Stopping
@@ -129,12 +129,12 @@
                 }
                 // Another router can take it at once.
                 Refusal::Overloaded => 0.0,
-                _ => RETRY_AFTER_S,
+                _ => DEFAULT_RETRY_AFTER_S,
             };
             let after = HeaderValue::from_str(&format!("{seconds}"));
             headers.insert(header::RETRY_AFTER, after.expect("a number is a legal header"));
         }
-        if self.closes() {
+        if self.closes_connection() {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -10,11 +10,11 @@
 use hyper::body::Incoming;
 
 use super::arrival::admit;
+use super::destination::Destination;
 use super::exchange::{self, Attempt};
-use super::header_names::CallHead;
-use super::placing::Place;
+use super::header_names::RequestHead;
 use super::refusal::Refusal;
-use super::state::{Gateway, Presence};
+use super::state::{Gateway, InFlightGuard};
 use crate::clock::BootInstant;
 use crate::placement;
 use crate::quarantine::Fingerprint;
@@ -23,9 +23,9 @@
 use crate::routing::Route;
 
 /// Endpoints to which one request is sent at most when none has taken it.
-const MAX_SENDS: usize = 4;
+const MAX_ENDPOINTS_TRIED: usize = 4;
 /// Time left below which a request is not sent any more.
-const LEAST_REMAINING: Duration = Duration::from_millis(10);
+const MIN_REMAINING: Duration = Duration::from_millis(10);
 
 /// A request that has found its route and customer.
 pub(super) struct Call {
@@ -40,16 +40,16 @@
     pub regions: AllowedRegions,
     /// The version of that routing.
     pub routing_version: u64,
-    pub head: CallHead,
+    pub head: RequestHead,
     pub parts: Parts,
     pub body: Bytes,
     /// What it has in common with the same request when it comes again.
     pub fingerprint: Fingerprint,
     pub arrived: BootInstant,
-    pub limit: BootInstant,
+    pub deadline: BootInstant,
     /// What it has drawn while a release is rolled out.
-    pub turn: Mutex<ReleaseChoice>,
-    pub _presence: Presence,
+    pub release_choice: Mutex<ReleaseChoice>,
+    pub _in_flight: InFlightGuard,
 }
 
 impl Call {
@@ -59,13 +59,13 @@
     }
 
     pub fn remaining(&self) -> Duration {
-        self.limit.remaining()
+        self.deadline.remaining()
     }
 
     /// Whether the budget allows to send it again.
-    pub fn may_repeat(&self) -> bool {
+    pub fn try_spend_retry(&self) -> bool {
         let now = self.gateway.now();
-        self.gateway.with_budgets(|budgets| budgets.take(now, &self.service))
+        self.gateway.with_budgets(|budgets| budgets.try_spend(now, &self.service))
     }
 }
 
@@ -78,13 +78,13 @@
     let mut response = match admit(&gateway, parts, head, body).await {
         Ok(call) => run(Arc::new(call)).await,
         Err(refusal) => {
-            let refusal = confirm(&gateway, refusal);
+            let refusal = replace_if_unconfirmed(&gateway, refusal);
             note_refusal(&gateway, id.as_deref(), refusal);
             refusal.into_response()
         }
     };
     // What comes next on this connection could not be handed over.
-    if stopping || gateway.hands_over() {
+    if stopping || gateway.should_hand_over() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -92,7 +92,7 @@
 
 /// That a route or key does not exist is final for a caller, so it is said only where
 /// the routing is known to be the newest; elsewhere the caller may ask again.
-fn confirm(gateway: &Gateway, refusal: Refusal) -> Refusal {
+fn replace_if_unconfirmed(gateway: &Gateway, refusal: Refusal) -> Refusal {
     match refusal {
         Refusal::NoRoute | Refusal::UnknownKey if !gateway.feeds.is_current() => {
             Refusal::RoutingUnconfirmed
@@ -129,39 +129,39 @@
 pub(super) async fn run(call: Arc<Call>) -> Response<Body> {
     let mut progress = Progress::default();
     let mut ended = Refusal::NoEndpoint;
-    while progress.tried.len() < MAX_SENDS {
-        if call.remaining() < LEAST_REMAINING {
+    while progress.tried.len() < MAX_ENDPOINTS_TRIED {
+        if call.remaining() < MIN_REMAINING {
             ended = Refusal::TimedOutUnsent;
             break;
         }
-        if let Some(refusal) = call.crashes_endpoints() {
+        if let Some(refusal) = call.crash_refusal() {
             ended = refusal;
             break;
         }
-        let (endpoint, reservation) = match call.place(&progress.tried).await {
-            Place::At(endpoint, reservation) => (endpoint, reservation),
-            Place::Nowhere => {
+        let (endpoint, reservation) = match call.choose_destination(&progress.tried).await {
+            Destination::Endpoint(endpoint, reservation) => (endpoint, reservation),
+            Destination::NoEndpoint => {
                 if progress.tried.is_empty() {
-                    ended = call.why_nowhere();
+                    ended = call.no_endpoint_reason();
                 }
                 break;
             }
-            Place::TooLate(refusal) => {
+            Destination::TooLate(refusal) => {
                 log_too_late(&call, &refusal);
                 ended = Refusal::TooLate { retry_after_ms: refusal.retry_after_ms };
                 break;
             }
         };
-        let again = !progress.tried.is_empty();
+        let is_retry = !progress.tried.is_empty();
         progress.tried.push(endpoint.id.clone());
-        let attempt = exchange::attempt(&call, &endpoint, reservation, again).await;
-        call.failed_at(&endpoint.version, &attempt);
+        let attempt = exchange::attempt(&call, &endpoint, reservation, is_retry).await;
+        call.record_failure_at(&endpoint.version, &attempt);
         match attempt {
             Attempt::Answered(response) => return finish(&call, &endpoint.id, response),
             Attempt::NotSent => ended = Refusal::NotExecuted,
             Attempt::NotExecuted => {
                 ended = Refusal::NotExecuted;
-                if !call.may_repeat() {
+                if !call.try_spend_retry() {
                     break;
                 }
             }
@@ -190,7 +190,7 @@
         return finish(&call, &endpoint, response);
     }
     if matches!(ended, Refusal::NoEndpoint | Refusal::NotExecuted)
-        && let Some(rest_ms) = call.all_rest_for()
+        && let Some(rest_ms) = call.first_rest_end_ms()
     {
         log::info!(
             "gateway: request {} meets only endpoints that rest, the first for {rest_ms} ms more",
@@ -211,7 +211,7 @@
         ended.name(),
         progress.tried
     );
-    count(&call, ended.name());
+    count_outcome(&call, ended.name());
     ended.into_response()
 }
 
@@ -229,18 +229,18 @@
 fn may_run_again(call: &Call, progress: &mut Progress) -> bool {
     progress.runs += 1;
     progress.may_have_run = true;
-    call.route.may_repeat() && progress.runs < call.route.attempts && call.may_repeat()
+    call.route.may_repeat() && progress.runs < call.route.attempts && call.try_spend_retry()
 }
 
 fn finish(call: &Call, endpoint: &str, response: Response<Body>) -> Response<Body> {
     log::debug!("gateway: request {} answered {} by {endpoint}", call.number, response.status());
     let name = if response.status().is_success() { "answered" } else { "endpoint_error" };
-    count(call, name);
+    count_outcome(call, name);
     let seconds = call.arrived.elapsed().as_secs_f64();
     call.gateway.metrics.first_answer.with_label_values(&[&call.service]).observe(seconds);
     response
 }
 
-fn count(call: &Call, outcome: &str) {
+fn count_outcome(call: &Call, outcome: &str) {
     call.gateway.metrics.outcomes.with_label_values(&[&call.service, outcome]).inc();
 }
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -6,8 +6,8 @@
 
 use rand::RngExt;
 
+use super::destination::Destination;
 use super::exchange::Attempt;
-use super::placing::Place;
 use super::request::Call;
 use super::state::Gateway;
 use crate::dispatch::Millis;
@@ -29,12 +29,12 @@
 pub(super) struct Releases {
     splits: Splits,
     pub tally: RouterTally,
-    parts: BTreeMap<String, Part>,
+    logged_splits: BTreeMap<String, LoggedSplit>,
 }
 
 /// What goes to a new release, and why, as logged last.
 #[derive(Debug, PartialEq, Eq)]
-struct Part {
+struct LoggedSplit {
     number: u64,
     permille: u32,
     cause: Cause,
@@ -43,11 +43,11 @@
 
 impl Releases {
     /// Logs that another part of a service's requests goes to its new release.
-    fn note_part(&mut self, now: Millis, rollout: &Rollout, grant: Option<&Grant>, cause: Cause) {
+    fn log_split(&mut self, now: Millis, rollout: &Rollout, grant: Option<&Grant>, cause: Cause) {
         let permille = grant.map_or(0, |grant| grant.permille);
         let (number, service) = (rollout.number, &rollout.order.service);
-        let part = Part { number, permille, cause, logged_at: now };
-        if let Some(known) = self.parts.get(service) {
+        let split = LoggedSplit { number, permille, cause, logged_at: now };
+        if let Some(known) = self.logged_splits.get(service) {
             let is_same = (known.number, known.permille, known.cause) == (number, permille, cause);
             let is_new = known.number != number;
             if is_same || !is_new && now < known.logged_at + LOG_INTERVAL_MS {
@@ -56,7 +56,7 @@
         }
         let version = &rollout.order.version;
         log::info!("rollout: {version} of {service} is sent {permille} in 1000: {cause:?}");
-        self.parts.insert(service.clone(), part);
+        self.logged_splits.insert(service.clone(), split);
     }
 }
 
@@ -64,10 +64,10 @@
     /// Which releases may run it now; none where none may.
     pub(super) fn version_rule(&self) -> Option<VersionRule> {
         let offset = rand::rng().random();
-        self.with_situation(|releases, turn, situation| {
-            let (rule, cause) = releases.splits.rule(turn, &self.route.name, offset, situation);
-            if let Some(rollout) = situation.rollout {
-                releases.note_part(self.gateway.now(), rollout, situation.grant, cause);
+        self.with_router_state(|releases, choice, state| {
+            let (rule, cause) = releases.splits.rule(choice, &self.route.name, offset, state);
+            if let Some(rollout) = state.rollout {
+                releases.log_split(self.gateway.now(), rollout, state.grant, cause);
             }
             rule
         })
@@ -76,7 +76,7 @@
     /// Whether it may be sent to an endpoint, by what is known at this moment.
     pub(super) fn may_be_sent_to(&self, endpoint: &Registration) -> bool {
         self.gateway.takes_work(endpoint)
-            && self.crashes_endpoints().is_none()
+            && self.crash_refusal().is_none()
             && self
                 .eligibility()
                 .is_some_and(|eligibility| self.is_eligible(&eligibility, endpoint))
@@ -84,56 +84,56 @@
 
     /// The caller is about to get a piece of an answer of this release.
     pub(super) fn bind(&self, version: &str) {
-        self.turn().bind(version);
+        self.release_choice().bind(version);
     }
 
     /// Whether its answer may go on at the release that began it.
-    pub(super) fn may_go_on(&self) -> bool {
+    pub(super) fn may_resume(&self) -> bool {
         let offset = rand::rng().random();
-        self.with_situation(|releases, turn, situation| {
-            releases.splits.go_on(turn, &self.route.name, offset, situation)
+        self.with_router_state(|releases, choice, state| {
+            releases.splits.go_on(choice, &self.route.name, offset, state)
         })
     }
 
     /// It was sent to an endpoint of a release: where that came to nothing, it goes to
     /// another.
-    pub(super) fn failed_at(&self, version: &str, attempt: &Attempt) {
+    pub(super) fn record_failure_at(&self, version: &str, attempt: &Attempt) {
         if matches!(attempt, Attempt::Answered(_)) {
             return;
         }
-        if let Some(number) = self.number_of(|rollout| rollout.order.version == version) {
-            self.turn().failed_at_new(number);
+        if let Some(number) = self.rollout_number(|rollout| rollout.order.version == version) {
+            self.release_choice().failed_at_new(number);
         }
     }
 
     /// Whether it was to go to the new release, had no place there, and may have one at
     /// another. Once all go to the new one, what it could not serve in time is refused as
     /// always: the others have to run dry.
-    pub(super) fn gives_up_new(&self, rule: &VersionRule, place: &Place) -> bool {
+    pub(super) fn falls_back_from_new(&self, rule: &VersionRule, place: &Destination) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
-        let number = self.number_of(|r| r.order.version == *version && !r.stage.is_final());
+        let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
         let Some(number) = number else { return false };
-        let is_refused = matches!(place, Place::TooLate(_));
-        let may_leave = !is_refused || self.is_of_a_part(rule);
-        may_leave && self.turn().no_place_at_new(number)
+        let is_refused = matches!(place, Destination::TooLate(_));
+        let may_leave = !is_refused || self.is_partial_traffic(rule);
+        may_leave && self.release_choice().no_place_at_new(number)
     }
 
     /// Whether it is of the part that goes to a new release while others go elsewhere.
-    pub(super) fn is_of_a_part(&self, rule: &VersionRule) -> bool {
+    pub(super) fn is_partial_traffic(&self, rule: &VersionRule) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
-        let number = self.number_of(|r| r.order.version == *version && !r.stage.is_final());
+        let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
         let Some(number) = number else { return false };
         let now = self.gateway.now();
         let grant = self.gateway.rollouts.grant(now, &self.service, number);
-        grant.is_none_or(|grant| grant.permille < ALL_PERMILLE) && !self.turn().is_bound()
+        grant.is_none_or(|grant| grant.permille < ALL_PERMILLE) && !self.release_choice().is_bound()
     }
 
-    fn number_of(&self, is_meant: impl Fn(&Rollout) -> bool) -> Option<u64> {
+    fn rollout_number(&self, matches: impl Fn(&Rollout) -> bool) -> Option<u64> {
         let table = self.gateway.rollouts.table();
-        table.get(&self.service).filter(|rollout| is_meant(rollout)).map(|rollout| rollout.number)
+        table.get(&self.service).filter(|rollout| matches(rollout)).map(|rollout| rollout.number)
     }
 
-    fn with_situation<T>(
+    fn with_router_state<T>(
         &self,
         f: impl FnOnce(&mut Releases, &mut ReleaseChoice, &RouterState<'_>) -> T,
     ) -> T {
@@ -146,9 +146,9 @@
         // Asked before the lock: it may look at many endpoints while old ones leave.
         let others_take_work = rollout.is_none_or(|rollout| self.others_take_work(rollout));
         let grant = grant.as_ref();
-        let situation = RouterState { rollout, grant, others_take_work };
-        let mut turn = self.turn();
-        gateway.with_releases(|releases| f(releases, &mut turn, &situation))
+        let state = RouterState { rollout, grant, others_take_work };
+        let mut choice = self.release_choice();
+        gateway.with_releases(|releases| f(releases, &mut choice, &state))
     }
 
     /// Whether an endpoint of another release than the new one could run it.
@@ -156,7 +156,7 @@
         if rollout.stage.is_final() {
             return true;
         }
-        let allowed = self.regions_by_now();
+        let allowed = self.current_regions();
         let regions = &self.gateway.settings.host.regions;
         let may_run = |endpoint: &Registration| {
             side_of(rollout, &endpoint.version) == Release::Old
@@ -165,8 +165,8 @@
         self.gateway.registry.read(|registry| registry.ready(&self.service).any(may_run))
     }
 
-    fn turn(&self) -> MutexGuard<'_, ReleaseChoice> {
-        self.turn.lock().unwrap_or_else(PoisonError::into_inner)
+    fn release_choice(&self) -> MutexGuard<'_, ReleaseChoice> {
+        self.release_choice.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::callers::{KeepAlive, serve_requests};
-use super::handover::{hand_over, take_callers};
+use super::handover::{accept_handovers, hand_over};
 use super::header_names::HeaderNames;
 use super::overload::Overload;
 use super::rollouts;
@@ -23,7 +23,7 @@
 use crate::wire::Role;
 
 /// How often a planned stop looks whether all requests have ended.
-const STOP_POLL: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A planned stop ends so long before it would be ended by force.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 /// How long to wait after a connection could not be accepted.
@@ -39,7 +39,7 @@
     settings.check()?;
     let (peers, incoming) = Peers::start(&settings.host, Role::Router, settings.operator).await?;
     let gateway = Gateway::new(settings, rules, peers, header_names, stop.clone());
-    tokio::spawn(take_callers(gateway.clone(), incoming));
+    tokio::spawn(accept_handovers(gateway.clone(), incoming));
     tokio::spawn(follow_registry(gateway.clone()));
     tokio::spawn(rollouts::report(gateway.clone()));
     tokio::spawn(report_crashes(gateway.guard.clone(), gateway.feeds.clone()));
@@ -64,14 +64,14 @@
     let limit = Duration::from_secs_f64(gateway.rules.stop_within_s).saturating_sub(STOP_MARGIN);
     let takes = Duration::from_millis(gateway.rules.stop_takes_ms).min(limit / 2);
     tokio::time::sleep(takes).await;
-    gateway.refuse_new();
+    gateway.stop_accepting();
     closing.cancel();
     let deadline = tokio::time::Instant::now() + limit.saturating_sub(takes);
     while gateway.in_flight() > 0 && tokio::time::Instant::now() < deadline {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     // What has just been answered still has to leave.
-    tokio::time::sleep(STOP_POLL).await;
+    tokio::time::sleep(STOP_POLL_INTERVAL).await;
     log::info!("gateway: stopped, {} requests in flight", gateway.in_flight());
 }
 
@@ -102,7 +102,7 @@
     loop {
         match listener.accept().await {
             // Closed unread: the caller may try any request again elsewhere.
-            Ok((stream, _)) if !gateway.with_overload(Overload::connect) => drop(stream),
+            Ok((stream, _)) if !gateway.with_overload(Overload::try_add_connection) => drop(stream),
             Ok((stream, _)) => {
                 tokio::spawn(serve_caller(gateway.clone(), stream, closing.clone()));
             }
@@ -120,5 +120,5 @@
     if let Some(stream) = hand_over(&gateway, stream, &closing).await {
         serve_requests(&gateway, stream, KeepAlive::UntilIdle, &closing).await;
     }
-    gateway.with_overload(Overload::disconnect);
+    gateway.with_overload(Overload::remove_connection);
 }
--- a/src/gateway/start_checks.rs
+++ b/src/gateway/start_checks.rs
@@ -22,11 +22,11 @@
 /// How long an answer is waited for: a health check may wait for a free slot.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause before a check that failed is repeated, doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between two checks.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 /// How long a request waits for checks when no other endpoint may run it.
-const CALL_WAIT: Duration = Duration::from_millis(300);
+const MAX_REQUEST_WAIT: Duration = Duration::from_millis(300);
 
 /// Why a check says nothing of the endpoint.
 #[derive(Debug, Snafu)]
@@ -49,13 +49,14 @@
     /// Begins to check an endpoint that takes work by its registration and of which it is not
     /// certain, unless that is under way.
     pub(super) fn check_if_uncertain(self: &Arc<Self>, id: &str) {
-        if self.uncertain(id).is_some() && self.with_start_checks(|ids| ids.insert(id.to_string()))
+        if self.uncertain_endpoint(id).is_some()
+            && self.with_start_checks(|ids| ids.insert(id.to_string()))
         {
             tokio::spawn(check_until_certain(self.clone(), id.to_string()));
         }
     }
 
-    fn uncertain(&self, id: &str) -> Option<Registration> {
+    fn uncertain_endpoint(&self, id: &str) -> Option<Registration> {
         let now = self.now();
         self.registry.read(|registry| {
             let endpoint = registry.get_ready(id)?;
@@ -65,10 +66,10 @@
     }
 
     /// Ends the check of an endpoint, if it is certain by now.
-    fn end_check(&self, id: &str) -> bool {
+    fn end_check_if_certain(&self, id: &str) -> bool {
         // Under the lock: whoever finds it uncertain later begins another check.
         self.with_start_checks(|ids| {
-            let ends = self.uncertain(id).is_none();
+            let ends = self.uncertain_endpoint(id).is_none();
             if ends {
                 ids.remove(id);
             }
@@ -78,9 +79,9 @@
 }
 
 async fn check_until_certain(gateway: Arc<Gateway>, id: String) {
-    let mut pause = FIRST_PAUSE;
-    while !gateway.end_check(&id) {
-        let Some(endpoint) = gateway.uncertain(&id) else { continue };
+    let mut pause = FIRST_RETRY_PAUSE;
+    while !gateway.end_check_if_certain(&id) {
+        let Some(endpoint) = gateway.uncertain_endpoint(&id) else { continue };
         match check(&gateway, &endpoint).await {
             Ok(notice) => {
                 log::info!(
@@ -88,7 +89,7 @@
                     endpoint.started_at_ms
                 );
                 gateway.count_start_check(&endpoint, "answered");
-                gateway.take_notice(&endpoint, &notice);
+                gateway.apply_notice(&endpoint, &notice);
             }
             Err(error) => {
                 log::info!(
@@ -98,7 +99,7 @@
                 );
                 gateway.count_start_check(&endpoint, "failed");
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(MAX_PAUSE);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
@@ -109,7 +110,7 @@
     let Some(address) = endpoint.address else { return NoAddressSnafu.fail() };
     let target = Target { address, started_at_ms: endpoint.started_at_ms };
     let request = health_check(gateway, endpoint, target)?;
-    let asking = gateway.connections.ask(target, request);
+    let asking = gateway.connections.send_on_new(target, request);
     let response = match tokio::time::timeout(ANSWER_TIMEOUT, asking).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return NoAnswerSnafu { error }.fail(),
@@ -141,14 +142,14 @@
 impl Call {
     /// Waits a moment for checks of endpoints that could run it; whether any was waited for.
     pub(super) async fn wait_for_start_checks(&self, tried: &[String]) -> bool {
-        let limit = tokio::time::Instant::now() + CALL_WAIT.min(self.remaining());
+        let limit = tokio::time::Instant::now() + MAX_REQUEST_WAIT.min(self.remaining());
         let mut waited = false;
         loop {
             let ended = self.gateway.start_checks_ended.notified();
             tokio::pin!(ended);
             // From here on it is told, also of what ends before it is awaited.
             ended.as_mut().enable();
-            if !self.meets_uncertain(tried) {
+            if !self.has_uncertain_candidate(tried) {
                 return waited;
             }
             waited = true;
@@ -158,7 +159,7 @@
         }
     }
 
-    fn meets_uncertain(&self, tried: &[String]) -> bool {
+    fn has_uncertain_candidate(&self, tried: &[String]) -> bool {
         let Some(eligibility) = self.eligibility() else { return false };
         let now = self.gateway.now();
         self.gateway.registry.read(|registry| {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -12,7 +12,7 @@
 use super::endpoints::{ColdLimit, EndpointTracker, Failure};
 use super::header_names::HeaderNames;
 use super::neighbours::Neighbours;
-use super::observed::Observed;
+use super::observation::ReleaseObservation;
 use super::overload::Overload;
 use super::rollouts::Releases;
 use crate::dispatch::Millis;
@@ -97,7 +97,7 @@
             LocalPlacer::new(peers.me, peers.clock, documents.clone(), registry.clone(), regions);
         let overload = Arc::new(Mutex::new(Overload::new(rules.overload)));
         let lag = watch_lag(overload.clone());
-        let most_connections = rules.overload.caller_connections();
+        let max_connections = rules.overload.max_caller_connections();
         let placements = Placements::start(peers.clone(), feeds.clone(), local, hall, lag);
         let budgets = RetryBudgets::new(rules.retry_budget, 1);
         Arc::new(Gateway {
@@ -111,7 +111,7 @@
             feeds,
             placements,
             header_names,
-            connections: Connections::new(most_connections),
+            connections: Connections::new(max_connections),
             metrics: GatewayMetrics::default(),
             stop,
             endpoints: Mutex::default(),
@@ -190,13 +190,13 @@
     }
 
     /// An endpoint answered a request.
-    pub(super) fn note_success(&self, endpoint: &Registration) {
+    pub(super) fn record_success(&self, endpoint: &Registration) {
         let now = self.now();
         self.with_endpoints(|e| e.record_success(now, &endpoint.id, endpoint.started_at_ms));
     }
 
     /// A request failed at an endpoint.
-    pub(super) fn note_failure(&self, id: &str, started_at_ms: u64, failure: Failure) {
+    pub(super) fn record_failure(&self, id: &str, started_at_ms: u64, failure: Failure) {
         let now = self.now();
         let avoided = self.with_endpoints(|e| e.record_failure(now, id, started_at_ms, failure));
         if avoided > 0 {
@@ -210,7 +210,7 @@
     }
 
     /// From here on a planned stop takes no more requests.
-    pub(super) fn refuse_new(&self) {
+    pub(super) fn stop_accepting(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
 
@@ -225,31 +225,31 @@
     }
 
     /// Whether callers' new connections should be handed over to other routers.
-    pub(super) fn hands_over(&self) -> bool {
+    pub(super) fn should_hand_over(&self) -> bool {
         let serving = self.serving();
-        self.with_overload(|overload| overload.hands_over(serving))
+        self.with_overload(|overload| overload.should_hand_over(serving))
     }
 
     /// A request is served here.
-    pub(super) fn enter(self: &Arc<Self>) -> Presence {
+    pub(super) fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        Presence { gateway: self.clone(), hands_over: false }
+        InFlightGuard { gateway: self.clone(), hands_over: false }
     }
 
     /// A request is handed over to another router.
-    pub(super) fn enter_handing_over(self: &Arc<Self>) -> Presence {
+    pub(super) fn track_handover(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.handing_over.fetch_add(1, Ordering::Relaxed);
-        Presence { gateway: self.clone(), hands_over: true }
+        InFlightGuard { gateway: self.clone(), hands_over: true }
     }
 }
 
 fn watch_lag(overload: Arc<Mutex<Overload>>) -> LoopLag {
     LoopLag::start(move |lag| {
         let mut overload = overload.lock().unwrap_or_else(PoisonError::into_inner);
-        let handed_over = overload.hands_over(0);
+        let handed_over = overload.should_hand_over(0);
         let readiness_changed = overload.set_lag(lag);
-        if overload.hands_over(0) != handed_over {
+        if overload.should_hand_over(0) != handed_over {
             log::info!(
                 "gateway: new connections are {}: event loop {} ms late",
                 if handed_over { "served here" } else { "handed over" },
@@ -268,12 +268,12 @@
 }
 
 /// A request under way; a planned stop waits until it is dropped.
-pub(super) struct Presence {
+pub(super) struct InFlightGuard {
     gateway: Arc<Gateway>,
     hands_over: bool,
 }
 
-impl Drop for Presence {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.gateway.in_flight.fetch_sub(1, Ordering::Relaxed);
         if self.hands_over {
@@ -283,50 +283,50 @@
 }
 
 /// A request at an endpoint, counted there until dropped.
-pub(super) struct Ticket {
+pub(super) struct Assignment {
     gateway: Arc<Gateway>,
     /// The endpoint's id.
     pub endpoint: String,
     /// The start of the endpoint that it was sent to.
     pub started_at_ms: u64,
     prompt_tokens: u32,
-    begun: bool,
+    has_begun: bool,
     reservation: Option<Reservation>,
     /// What it says of the endpoint's release.
-    pub observed: Observed,
+    pub observation: ReleaseObservation,
 }
 
-impl Ticket {
+impl Assignment {
     pub fn new(
         gateway: &Arc<Gateway>,
         endpoint: &Registration,
         prompt_tokens: u32,
         reservation: Option<Reservation>,
-        observed: Observed,
-    ) -> Ticket {
+        observation: ReleaseObservation,
+    ) -> Assignment {
         let now = gateway.now();
         let (endpoint, started_at_ms) = (endpoint.id.clone(), endpoint.started_at_ms);
         gateway.with_endpoints(|e| e.record_sent(now, &endpoint, started_at_ms, prompt_tokens));
         let gateway = gateway.clone();
-        Ticket {
+        Assignment {
             gateway,
             endpoint,
             started_at_ms,
             prompt_tokens,
-            begun: false,
+            has_begun: false,
             reservation,
-            observed,
+            observation,
         }
     }
 
     /// The first part of the answer came.
-    pub fn begun(&mut self) {
-        if !std::mem::replace(&mut self.begun, true) {
+    pub fn record_first_event(&mut self) {
+        if !std::mem::replace(&mut self.has_begun, true) {
             let tokens = self.prompt_tokens;
             self.gateway.with_endpoints(|e| {
                 e.record_first_event(&self.endpoint, self.started_at_ms, tokens)
             });
-            self.observed.answered();
+            self.observation.record_answered();
             if let Some(reservation) = &mut self.reservation {
                 reservation.begun();
             }
@@ -340,16 +340,16 @@
     }
 
     /// Says how the request ended.
-    pub fn set_ending(&mut self, ending: Ending) {
+    pub fn set_completion(&mut self, ending: Ending) {
         if let Some(reservation) = &mut self.reservation {
             reservation.set_ending(ending);
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Assignment {
     fn drop(&mut self) {
-        let tokens = if self.begun { 0 } else { self.prompt_tokens };
+        let tokens = if self.has_begun { 0 } else { self.prompt_tokens };
         self.gateway
             .with_endpoints(|e| e.record_first_event(&self.endpoint, self.started_at_ms, tokens));
         self.gateway.with_endpoints(|e| e.record_end(&self.endpoint, self.started_at_ms));
@@ -365,14 +365,14 @@
     while watch.changed().await.is_ok() {
         let changes = gateway.registry.read(|r| r.changes_after(seen, usize::MAX, Scope::All));
         seen = changes.upto;
-        let news = known_starts.news(&changes.endpoints);
-        for start in &news {
-            gateway.connections.forget(start.id());
+        let start_events = known_starts.news(&changes.endpoints);
+        for start in &start_events {
+            gateway.connections.close_idle(start.id());
         }
-        gateway.guard.take_starts(news);
+        gateway.guard.take_starts(start_events);
         for endpoint in &changes.endpoints {
             if endpoint.state != EndpointState::Ready {
-                gateway.connections.forget(&endpoint.id);
+                gateway.connections.close_idle(&endpoint.id);
                 gateway.with_endpoints(|e| e.forget(&endpoint.id));
             }
             gateway.check_if_uncertain(&endpoint.id);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -10,12 +10,12 @@
 use hyper::body::Incoming;
 
 use super::connections::Connection;
+use super::destination::Destination;
 use super::endpoints::Failure;
 use super::events::EventSplitter;
-use super::exchange::{self, Opened, strip_connection_headers};
-use super::placing::Place;
+use super::exchange::{self, PendingAnswer, strip_connection_headers};
 use super::request::Call;
-use super::state::Ticket;
+use super::state::Assignment;
 use crate::placement::Ending;
 
 /// A stream under way. Dropping it closes the endpoint's connection, which ends
@@ -32,31 +32,31 @@
 struct Source {
     incoming: Incoming,
     connection: Connection,
-    ticket: Ticket,
+    assignment: Assignment,
 }
 
 /// Why a stream is broken off; the caller sees its connection close.
 #[derive(Debug, snafu::Snafu)]
-enum BrokenOff {
+enum StreamError {
     #[snafu(display("the endpoint broke off"))]
-    Endpoint,
+    Truncated,
     #[snafu(display("the time is up"))]
-    TimeUp,
+    TimedOut,
 }
 
 /// The answer for the caller: the endpoint's head, and its events as they come.
-pub(super) fn relay(call: &Arc<Call>, opened: Opened) -> Response<Body> {
-    let Opened { response, connection, mut ticket } = opened;
-    ticket.set_ending(Ending::Abandoned);
+pub(super) fn relay(call: &Arc<Call>, pending: PendingAnswer) -> Response<Body> {
+    let PendingAnswer { response, connection, mut assignment } = pending;
+    assignment.set_completion(Ending::Abandoned);
     let (mut head, incoming) = response.into_parts();
     strip_connection_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
-    call.bind(&ticket.observed.version);
+    call.bind(&assignment.observation.version);
     let resumes = call.route.resumable && call.route.attempts > 1;
     let relay = Relay {
         call: call.clone(),
-        tried: vec![ticket.endpoint.clone()],
-        source: Some(Source { incoming, connection, ticket }),
+        tried: vec![assignment.endpoint.clone()],
+        source: Some(Source { incoming, connection, assignment }),
         splitter: resumes.then(|| EventSplitter::after(call.head.last_event.clone())),
     };
     let events = futures_util::stream::unfold(Some(relay), |relay| async move {
@@ -72,21 +72,21 @@
 
 impl Relay {
     /// The next bytes; none at the end of a whole stream.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             let Some(source) = &mut self.source else { return Ok(None) };
             let frame = tokio::time::timeout(self.call.remaining(), source.incoming.frame());
             let Ok(frame) = frame.await else {
-                source.ticket.observed.failed();
+                source.assignment.observation.record_failed();
                 log::info!("gateway: request {} ran out of time", self.call.number);
-                return Err(BrokenOff::TimeUp);
+                return Err(StreamError::TimedOut);
             };
             match frame {
                 Some(Ok(frame)) => {
                     // Trailers concern this connection only.
                     let Ok(bytes) = frame.into_data() else { continue };
-                    source.ticket.begun();
-                    self.call.heard_from(&source.ticket);
+                    source.assignment.record_first_event();
+                    self.call.record_stream_data(&source.assignment);
                     let bytes = match &mut self.splitter {
                         Some(splitter) => splitter.push(&bytes),
                         None => bytes,
@@ -96,7 +96,7 @@
                     }
                 }
                 Some(Err(error)) => {
-                    self.call.lost_at(&source.ticket, &error.to_string());
+                    self.call.record_lost_answer(&source.assignment, &error.to_string());
                     self.resume().await?;
                 }
                 None => return Ok(self.finish()),
@@ -107,9 +107,9 @@
     /// The stream came to its end.
     fn finish(&mut self) -> Option<Bytes> {
         if let Some(mut source) = self.source.take() {
-            source.ticket.set_ending(Ending::Served);
-            self.call.served();
-            self.call.gateway.connections.keep(&source.ticket.endpoint, source.connection);
+            source.assignment.set_completion(Ending::Served);
+            self.call.record_served();
+            self.call.gateway.connections.keep_idle(&source.assignment.endpoint, source.connection);
         }
         let rest = self.splitter.as_mut().map(EventSplitter::finish);
         rest.filter(|rest| !rest.is_empty())
@@ -117,40 +117,46 @@
 
     /// Takes the stream up behind its last whole event at another endpoint of the same
     /// release: another release may say something else.
-    async fn resume(&mut self) -> Result<(), BrokenOff> {
-        let Some(mut broken) = self.source.take() else { return Err(BrokenOff::Endpoint) };
+    async fn resume(&mut self) -> Result<(), StreamError> {
+        let Some(mut lost) = self.source.take() else { return Err(StreamError::Truncated) };
         let call = self.call.clone();
-        let ticket = &broken.ticket;
-        call.gateway.note_failure(&ticket.endpoint, ticket.started_at_ms, Failure::Failed);
-        broken.ticket.set_ending(Ending::Failed);
-        broken.ticket.observed.failed();
-        drop(broken);
-        let Some(splitter) = &mut self.splitter else { return Err(BrokenOff::Endpoint) };
+        let assignment = &lost.assignment;
+        call.gateway.record_failure(
+            &assignment.endpoint,
+            assignment.started_at_ms,
+            Failure::Failed,
+        );
+        lost.assignment.set_completion(Ending::Failed);
+        lost.assignment.observation.record_failed();
+        drop(lost);
+        let Some(splitter) = &mut self.splitter else { return Err(StreamError::Truncated) };
         splitter.discard_partial();
         let runs = self.tried.len() as u32;
-        let may_go_on = call.may_go_on() && call.crashes_endpoints().is_none();
-        if runs >= call.route.attempts || !may_go_on || !call.may_repeat() {
-            return Err(BrokenOff::Endpoint);
+        let may_resume = call.may_resume() && call.crash_refusal().is_none();
+        if runs >= call.route.attempts || !may_resume || !call.try_spend_retry() {
+            return Err(StreamError::Truncated);
         }
-        let Place::At(endpoint, reservation) = call.place(&self.tried).await else {
-            return Err(BrokenOff::Endpoint);
+        let Destination::Endpoint(endpoint, reservation) =
+            call.choose_destination(&self.tried).await
+        else {
+            return Err(StreamError::Truncated);
         };
         self.tried.push(endpoint.id.clone());
         let after = splitter.last_id().map(str::to_string);
         log::info!("gateway: request {} goes on at {} after {after:?}", call.number, endpoint.id);
-        let opened = exchange::open(&call, &endpoint, reservation, after.as_deref()).await;
-        let Ok(Opened { response, connection, mut ticket }) = opened else {
-            return Err(BrokenOff::Endpoint);
+        let pending = exchange::open(&call, &endpoint, reservation, after.as_deref()).await;
+        let Ok(PendingAnswer { response, connection, mut assignment }) = pending else {
+            return Err(StreamError::Truncated);
         };
         if response.status() != StatusCode::OK {
-            let (status, at) = (response.status(), &ticket.endpoint);
+            let (status, at) = (response.status(), &assignment.endpoint);
             log::info!("gateway: request {} cannot go on at {at}: {status}", call.number);
-            ticket.observed.failed();
-            return Err(BrokenOff::Endpoint);
+            assignment.observation.record_failed();
+            return Err(StreamError::Truncated);
         }
         call.gateway.metrics.resumed.with_label_values(&[&call.service]).inc();
-        ticket.set_ending(Ending::Abandoned);
-        self.source = Some(Source { incoming: response.into_body(), connection, ticket });
+        assignment.set_completion(Ending::Abandoned);
+        self.source = Some(Source { incoming: response.into_body(), connection, assignment });
         Ok(())
     }
 }
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -6,8 +6,8 @@
 
 use super::endpoints::ColdLimit;
 use super::header_names::{prompt_parts, token_counts};
-use super::nearby::why_nowhere;
-use super::neighbours::{REFUSED_MS, RENEW_MS};
+use super::nearby::no_endpoint_reason;
+use super::neighbours::{REFRESH_INTERVAL_MS, REFUSAL_BACKOFF_MS};
 use super::refusal::Refusal;
 use super::*;
 use crate::feed::Neighbour;
@@ -80,8 +80,9 @@
 #[test]
 fn regions_are_the_reason_only_where_no_endpoint_is_in_an_allowed_one() {
     let bound = AllowedRegions::Only(["r".to_string()].into());
-    let why =
-        |allowed: &AllowedRegions, ready: &[&str]| why_nowhere(allowed, ready.iter().copied());
+    let why = |allowed: &AllowedRegions, ready: &[&str]| {
+        no_endpoint_reason(allowed, ready.iter().copied())
+    };
     let (no_region, no_endpoint) = (Refusal::NoAllowedRegion, Refusal::NoEndpoint);
     assert_eq!(why(&bound, &["s", ""]), no_region);
     assert_eq!(why(&bound, &["s", "r"]), no_endpoint, "it was tried, or is of another release");
@@ -185,9 +186,9 @@
             now += wait;
             let budget = &mut budgets[router as usize % routers];
             match repeat {
-                true => if budget.take(now, "app") { repeats.push(now) },
+                true => if budget.try_spend(now, "app") { repeats.push(now) },
                 false => {
-                    budget.request(now, "app");
+                    budget.record_request(now, "app");
                     requests.push(now);
                 }
             }
@@ -228,21 +229,21 @@
     let ms = std::time::Duration::from_millis;
     let mut overload = Overload::new(rules);
     overload.set_lag(ms(rules.hand_over_lag_ms - 1));
-    assert!(!overload.hands_over(0) && overload.takes_over(0));
+    assert!(!overload.should_hand_over(0) && overload.accepts_handover(0));
     overload.set_lag(ms(rules.hand_over_lag_ms));
-    assert!(overload.hands_over(0) && !overload.takes_over(0) && overload.is_ready());
+    assert!(overload.should_hand_over(0) && !overload.accepts_handover(0) && overload.is_ready());
     // It goes on until it is well below.
     overload.set_lag(ms(rules.hand_over_lag_ms - 1));
-    assert!(overload.hands_over(0));
+    assert!(overload.should_hand_over(0));
     overload.set_lag(ms(rules.hand_over_lag_ms / 2 - 1));
-    assert!(!overload.hands_over(0) && overload.takes_over(0));
+    assert!(!overload.should_hand_over(0) && overload.accepts_handover(0));
     // What it serves counts at once.
     let many = rules.hand_over_requests;
-    assert!(!overload.hands_over(many - 1) && overload.takes_over(many - 1));
-    assert!(overload.hands_over(many) && !overload.takes_over(many));
+    assert!(!overload.should_hand_over(many - 1) && overload.accepts_handover(many - 1));
+    assert!(overload.should_hand_over(many) && !overload.accepts_handover(many));
     // One whose limit is 0 hands over all that comes, also before it was measured.
     let all = OverloadRules { hand_over_lag_ms: 0, ..rules };
-    assert!(Overload::new(all).hands_over(0));
+    assert!(Overload::new(all).should_hand_over(0));
 }
 
 fn neighbour(host: u32) -> Neighbour {
@@ -256,32 +257,32 @@
     assert_eq!(neighbours.choose(0, &[], 7), None);
     let chosen: Vec<_> = (0..2).filter_map(|n| neighbours.choose(0, &known, n)).collect();
     assert_eq!(chosen, known, "every one may be asked");
-    neighbours.refused(0, HostId(1));
+    neighbours.record_refusal(0, HostId(1));
     for random in 0..4 {
-        assert_eq!(neighbours.choose(REFUSED_MS - 1, &known, random), Some(known[1]));
+        assert_eq!(neighbours.choose(REFUSAL_BACKOFF_MS - 1, &known, random), Some(known[1]));
     }
-    neighbours.refused(1, HostId(2));
+    neighbours.record_refusal(1, HostId(2));
     assert_eq!(neighbours.choose(2, &known, 0), None);
-    assert_eq!(neighbours.choose(REFUSED_MS, &known, 0), Some(known[0]));
+    assert_eq!(neighbours.choose(REFUSAL_BACKOFF_MS, &known, 0), Some(known[0]));
 }
 
 #[test]
 fn the_list_of_routers_is_asked_for_again_after_a_while() {
     let mut neighbours = Neighbours::default();
-    assert!(neighbours.renew(5));
-    assert!(!neighbours.renew(6));
-    assert!(neighbours.renew(5 + RENEW_MS));
+    assert!(neighbours.start_refresh_if_due(5));
+    assert!(!neighbours.start_refresh_if_due(6));
+    assert!(neighbours.start_refresh_if_due(5 + REFRESH_INTERVAL_MS));
 }
 
 #[test]
 fn callers_connections_leave_descriptors_for_endpoints() {
     let rules = OverloadRules { descriptors: 100, ..OverloadRules::default() };
     let mut overload = Overload::new(rules);
-    assert_eq!((1..=100).filter(|_| overload.connect()).count(), 45);
+    assert_eq!((1..=100).filter(|_| overload.try_add_connection()).count(), 45);
     overload.set_lag(std::time::Duration::ZERO);
     assert!(!overload.is_ready(), "crowded");
-    (0..20).for_each(|_| overload.disconnect());
-    assert!(overload.connect());
+    (0..20).for_each(|_| overload.remove_connection());
+    assert!(overload.try_add_connection());
     overload.set_lag(std::time::Duration::ZERO);
     assert!(overload.is_ready());
 }
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -8,8 +8,8 @@
 use tokio::time::Duration;
 use tokio_util::sync::CancellationToken;
 
+use super::super::destination::Destination;
 use super::super::exchange::{self, Attempt};
-use super::super::placing::Place;
 use super::super::request::{Call, run};
 use super::super::rollouts::report;
 use super::*;
@@ -139,16 +139,16 @@
             body: Default::default(),
             fingerprint: Fingerprint::of("", &["/"], &[]),
             arrived: now,
-            limit: now + Duration::from_secs(10),
-            turn: Default::default(),
-            _presence: self.gateway.enter(),
+            deadline: now + Duration::from_secs(10),
+            release_choice: Default::default(),
+            _in_flight: self.gateway.track_request(),
         })
     }
 
     async fn place(&self, call: &Call, tried: &[String]) -> Option<Registration> {
-        match call.place(tried).await {
-            Place::At(endpoint, _) => Some(*endpoint),
-            Place::Nowhere | Place::TooLate(_) => None,
+        match call.choose_destination(tried).await {
+            Destination::Endpoint(endpoint, _) => Some(*endpoint),
+            Destination::NoEndpoint | Destination::TooLate(_) => None,
         }
     }
 
