--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -10,7 +10,8 @@
 use crate::clock::epoch_ms;
 use crate::dispatch::Millis;
 use crate::quarantine::{
-    Blame, Fingerprint, Inquiry, KnownStarts, Quarantines, Review, Stage, Suspicion, Verdict,
+    Blame, CrashAnalysis, Fingerprint, KnownStarts, QuarantineState, Quarantines, Review, Stage,
+    Verdict,
 };
 use crate::registry::Scope;
 use crate::telemetry::render_gauges;
@@ -40,7 +41,7 @@
         }
         controller.take_starts(&control, now);
         for (router, observation) in reported {
-            controller.inquiry.take(now, router, observation);
+            controller.analysis.record(now, router, observation);
         }
         controller.decide(&control, now);
     }
@@ -48,7 +49,7 @@
 
 #[derive(Debug, Default)]
 struct QuarantineController {
-    inquiry: Inquiry,
+    analysis: CrashAnalysis,
     starts: KnownStarts,
     /// Number of the registry's change that was read last.
     seen_change: u64,
@@ -65,40 +66,41 @@
         let after = self.seen_change;
         let changes = control.registry.read(|r| r.changes_after(after, usize::MAX, Scope::All));
         self.seen_change = changes.upto;
-        self.inquiry.take_starts(now, self.starts.news(&changes.endpoints));
+        self.analysis.record_starts(now, self.starts.apply_changes(&changes.endpoints));
     }
 
     fn decide(&mut self, control: &Arc<Control>, now: Millis) {
         let agreed = control.quarantine.agreed();
-        for fingerprint in self.agreed.let_run_again(&agreed) {
-            self.inquiry.forgive(now, fingerprint);
+        for fingerprint in self.agreed.no_longer_refused(&agreed) {
+            self.analysis.discard_losses(now, fingerprint);
         }
         self.agreed = agreed.clone();
         let epoch = epoch_ms();
         let clock = control.peers.clock;
         let at_epoch = |at_ms| clock.at_epoch(at_ms);
-        let suspicion = |fingerprint: &_| agreed.suspicion(fingerprint, at_epoch);
+        let quarantine_state = |fingerprint: &_| agreed.quarantine_state(fingerprint, at_epoch);
         // What was not agreed on has to be proposed again.
-        let is_refused = |f: &Fingerprint| agreed.suspicion(f, at_epoch) == Suspicion::Refused;
-        let is_open = !self.inquiry.blamed().iter().all(is_refused);
-        let is_due = is_open || self.inquiry.is_due(now);
+        let is_refused =
+            |f: &Fingerprint| agreed.quarantine_state(f, at_epoch) == QuarantineState::Refused;
+        let is_open = !self.analysis.blamed().iter().all(is_refused);
+        let is_due = is_open || self.analysis.is_due(now);
         let Review { blamed, cleared } = match is_due {
-            true => self.inquiry.review(now, suspicion),
+            true => self.analysis.review(now, quarantine_state),
             false => Review::default(),
         };
-        self.innocent.extend(cleared.into_iter().chain(self.inquiry.take_served()));
+        self.innocent.extend(cleared.into_iter().chain(self.analysis.take_served()));
         self.innocent.retain(|f| agreed.get(f).is_some());
         let mut verdicts: Vec<_> = self.innocent.iter().cloned().map(Verdict::Release).collect();
         for Blame { fingerprint, crashes, among } in blamed {
             log::info!(
                 "quarantine: {fingerprint} is blamed for {crashes} of {among} crashes, {:?} before",
-                suspicion(&fingerprint)
+                quarantine_state(&fingerprint)
             );
             verdicts.push(Verdict::Refuse { fingerprint, crashes: crashes as u32, at_ms: epoch });
         }
         let over = |stage, until_ms| stage == Stage::Refused && until_ms <= epoch;
         let over = agreed.all().filter(|(_, q)| over(q.stage, q.until_ms));
-        verdicts.extend(over.map(|(f, _)| Verdict::Try { fingerprint: f.clone(), at_ms: epoch }));
+        verdicts.extend(over.map(|(f, _)| Verdict::Trial { fingerprint: f.clone(), at_ms: epoch }));
         self.proposed.retain(|_, (_, at)| now < *at + PROPOSE_EVERY_MS);
         for verdict in verdicts {
             self.propose(control, now, verdict);
@@ -110,7 +112,7 @@
     fn propose(&mut self, control: &Arc<Control>, now: Millis, verdict: Verdict) {
         let fingerprint = verdict.fingerprint().clone();
         let before = self.proposed.get(&fingerprint);
-        if before.is_some_and(|(before, _)| before.is_like(&verdict)) {
+        if before.is_some_and(|(before, _)| before.is_same_kind(&verdict)) {
             return;
         }
         self.proposed.insert(fingerprint, (verdict.clone(), now));
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -24,10 +24,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::quarantine::{CrashReport, QuarantineNews, SharedQuarantine};
+use crate::quarantine::{CrashReport, QuarantineUpdate, SharedQuarantine};
 use crate::registry::{DrainedHalls, EndpointStart, Registration, Scope, SharedRegistry};
 use crate::rollout::{Grants, Report, Rollouts, SharedRollouts};
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::wire::HostId;
 
 pub use followers::Followers;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Followed {
     /// The routing in force.
-    pub documents: Arc<Documents>,
+    pub documents: Arc<CurrentRouting>,
     /// The endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
@@ -87,7 +87,7 @@
     /// leader only.
     Grants(Grants),
     /// Requests that are refused because they crash endpoints, as it changed.
-    Quarantine(QuarantineNews),
+    Quarantine(QuarantineUpdate),
     /// The answer to [`FeedRequest::Speak`].
     Speaks {
         /// What was asked.
--- a/src/gateway/destination.rs
+++ b/src/gateway/destination.rs
@@ -7,7 +7,7 @@
 use super::endpoints::Preference;
 use super::request::Call;
 use crate::eligibility::{Candidate, Eligibility, order_of};
-use crate::placement::{self, Placed, PlacementRequest, Reservation};
+use crate::placement::{self, PlacementOutcome, PlacementRequest, Reservation};
 use crate::registry::Registration;
 
 /// Times that a placer is asked for one place, where this router knows that the endpoint
@@ -57,7 +57,7 @@
             _ => match self.eligibility() {
                 Some(other_releases) => {
                     let mut request = self.placement_request(&other_releases, tried);
-                    request.asked_before = true;
+                    request.demand_recorded = true;
                     self.choose_among(request, tried).await
                 }
                 None => Destination::NoEndpoint,
@@ -70,7 +70,7 @@
         let times = if self.is_engine { MAX_PLACEMENT_REQUESTS } else { 0 };
         for _ in 0..times {
             match self.gateway.placements.place(request.clone()).await {
-                Placed::At(reservation) => {
+                PlacementOutcome::Reserved(reservation) => {
                     let id = &reservation.endpoint;
                     let endpoint = self.gateway.registry.read(|r| r.get_ready(id).cloned());
                     // The placer may know an older registration or routing than this
@@ -79,10 +79,10 @@
                         return Destination::Endpoint(Box::new(endpoint), Some(reservation));
                     }
                     request.avoid.push(reservation.endpoint.clone());
-                    request.asked_before = true;
+                    request.demand_recorded = true;
                 }
-                Placed::Refused(refusal) => return Destination::TooLate(refusal),
-                Placed::Alone => break,
+                PlacementOutcome::Refused(refusal) => return Destination::TooLate(refusal),
+                PlacementOutcome::Undecided => break,
             }
         }
         match self.choose_locally(tried) {
@@ -132,11 +132,11 @@
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: self.head.output_tokens,
             objective_ms: left.as_millis() as u32,
-            pause_ms: self.route.pause_objective_ms as u32,
+            pause_objective_ms: self.route.pause_objective_ms as u32,
             hall: self.gateway.settings.host.hall.clone(),
             eligibility: eligibility.clone(),
             avoid: tried.to_vec(),
-            asked_before: false,
+            demand_recorded: false,
             has_alternative: false,
         }
     }
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dispatch::Millis;
-use crate::notice::{Notice, Rest, StartAt, UnattributedNotices};
+use crate::notice::{Notice, Rest, StartAddress, UnattributedNotices};
 use crate::registry::Registration;
 use crate::wire::HostId;
 
@@ -137,12 +137,12 @@
     /// Whether an endpoint is not avoided after failures, nor tried after a rest.
     pub fn is_healthy(&self, now: Millis, endpoint: &Registration) -> bool {
         self.observed(endpoint)
-            .is_none_or(|observed| observed.avoid_until <= now && !observed.rest.is_tried(now))
+            .is_none_or(|observed| observed.avoid_until <= now && !observed.rest.is_probing(now))
     }
 
     /// Milliseconds for which an endpoint gets nothing because it asked for rest.
     pub fn rest_left(&self, now: Millis, endpoint: &Registration) -> Option<Millis> {
-        self.observed(endpoint)?.rest.left(now)
+        self.observed(endpoint)?.rest.remaining(now)
     }
 
     /// Whether this start of an endpoint may have said that it leaves, rests or ends, and has
@@ -152,7 +152,7 @@
         if answered < endpoint.revivals {
             return true;
         }
-        start_address(endpoint).is_some_and(|start| self.unattributed.may_be_of(now, start))
+        start_address(endpoint).is_some_and(|start| self.unattributed.may_apply_to(now, start))
     }
 
     /// An answer came on a connection that was opened while this start was the latest known.
@@ -163,7 +163,7 @@
             observed.revivals = observed.revivals.max(endpoint.revivals);
         }
         if let Some(start) = start_address(endpoint) {
-            self.unattributed.heard(now, start, notice);
+            self.unattributed.record(now, start, notice);
         }
     }
 
@@ -236,7 +236,7 @@
             observed.sent.pop_front();
         }
         observed.sent.push_back(now);
-        observed.rest.sent(now);
+        observed.rest.record_sent(now);
         observed.in_flight += 1;
         observed.prompt_tokens += u64::from(prompt_tokens);
     }
@@ -257,7 +257,7 @@
             self.observed.get_mut(id).filter(|observed| observed.started_at_ms == started_at_ms)
         {
             observed.in_flight = observed.in_flight.saturating_sub(1);
-            observed.rest.ended();
+            observed.rest.record_ended();
         }
     }
 
@@ -268,14 +268,14 @@
         {
             observed.failures = 0;
             observed.avoid_until = 0;
-            observed.rest.served(now);
+            observed.rest.record_served(now);
         }
     }
 
     /// It turned a request away and asked for so many milliseconds of rest.
     pub fn record_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
         if let Some(observed) = self.observed_mut(id, started_at_ms) {
-            observed.rest.ask(now, time);
+            observed.rest.extend(now, time);
         }
     }
 
@@ -309,9 +309,9 @@
 }
 
 /// A start of an endpoint that can be reached.
-fn start_address(endpoint: &Registration) -> Option<StartAt<'_>> {
+fn start_address(endpoint: &Registration) -> Option<StartAddress<'_>> {
     let (id, started_at_ms) = (endpoint.id.as_str(), endpoint.started_at_ms);
-    endpoint.address.map(|address| StartAt { id, started_at_ms, address })
+    endpoint.address.map(|address| StartAddress { id, started_at_ms, address })
 }
 
 /// Rendezvous hashing: where requests of one kind go stays the same as endpoints
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -17,7 +17,7 @@
 use super::request::Call;
 use super::state::Assignment;
 use super::stream;
-use crate::placement::{Ending, Reservation};
+use crate::placement::{Completion, Reservation};
 use crate::registry::Registration;
 use crate::routing::RouteKind;
 
@@ -138,7 +138,7 @@
     let tokens = call.prompt_tokens();
     let observation = ReleaseObservation::new(call, endpoint);
     let mut assignment = Assignment::new(&call.gateway, endpoint, tokens, reservation, observation);
-    assignment.set_completion(Ending::Failed);
+    assignment.set_completion(Completion::Failed);
     let request = request_for(call, endpoint, assignment.copy_from(), after_event);
     match send_and_await_head(call, endpoint, address, request, &mut assignment).await {
         Ok((response, connection)) => Ok(PendingAnswer { response, connection, assignment }),
@@ -163,9 +163,9 @@
         Ok(Ok((response, connection))) => {
             let requests_rest = call.apply_notice(endpoint, &response);
             if response.status() == StatusCode::MISDIRECTED_REQUEST {
-                assignment.set_completion(Ending::Replaced);
+                assignment.set_completion(Completion::Replaced);
             } else if requests_rest {
-                assignment.set_completion(Ending::Abandoned);
+                assignment.set_completion(Completion::Abandoned);
             }
             check_head(call, endpoint, &response, requests_rest)?;
             call.record_answer_began(assignment);
@@ -177,7 +177,7 @@
                 call.number,
                 endpoint.id
             );
-            assignment.set_completion(Ending::Abandoned);
+            assignment.set_completion(Completion::Abandoned);
             Err(Attempt::NotSent)
         }
         Ok(Err(SendError::NotSent(reason))) => {
@@ -273,7 +273,7 @@
     let PendingAnswer { response, connection, mut assignment } = pending;
     let attempt = read_complete_answer(call, endpoint, response, connection, &assignment).await;
     if matches!(attempt, Attempt::Answered(_)) {
-        assignment.set_completion(Ending::Served);
+        assignment.set_completion(Completion::Served);
     }
     assignment.observation.record_attempt(&attempt);
     attempt
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -30,23 +30,23 @@
             id: assignment.endpoint.clone(),
             started_at_ms: assignment.started_at_ms,
         };
-        self.gateway.guard.lost(endpoint, &self.fingerprint, since_sent);
+        self.gateway.guard.record_loss(endpoint, &self.fingerprint, since_sent);
     }
 
     /// The endpoint began its own answer to this request: it is there.
     pub(super) fn record_answer_began(&self, assignment: &Assignment) {
         let sent_ago = assignment.observation.sent_ago();
-        self.gateway.guard.answered(&assignment.endpoint, assignment.started_at_ms, sent_ago);
+        self.gateway.guard.record_answer(&assignment.endpoint, assignment.started_at_ms, sent_ago);
     }
 
     /// The endpoint sends on its answer: it is there.
     pub(super) fn record_stream_data(&self, assignment: &Assignment) {
-        self.gateway.guard.heard(&assignment.endpoint, assignment.started_at_ms);
+        self.gateway.guard.record_stream_data(&assignment.endpoint, assignment.started_at_ms);
     }
 
     /// It was served whole.
     pub(super) fn record_served(&self) {
-        self.gateway.guard.served(&self.fingerprint);
+        self.gateway.guard.record_served(&self.fingerprint);
     }
 
     /// Why it is not sent to any endpoint, if it crashes them.
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -8,8 +8,8 @@
 use super::request::Call;
 use super::state::Gateway;
 use crate::dispatch::Millis;
-use crate::notice::{Notice, RestAsked};
-use crate::placement::StartOf;
+use crate::notice::{Notice, RequestedRest};
+use crate::placement::EndpointStartRef;
 use crate::registry::{EndpointStart, Hearing, Registration};
 
 impl Call {
@@ -27,7 +27,7 @@
         }
         let notice = self.gateway.header_names.read_notice(status, response.headers());
         self.gateway.apply_notice(endpoint, &notice);
-        notice.rest.time().is_some()
+        notice.rest.duration_ms().is_some()
     }
 
     /// Milliseconds until the first endpoint that may serve it ends its rest, where all of
@@ -54,13 +54,13 @@
             self.record_leaving(EndpointStart::of(endpoint));
         }
         match &notice.rest {
-            RestAsked::None => {}
-            RestAsked::For(rest_ms) => {
+            RequestedRest::None => {}
+            RequestedRest::For(rest_ms) => {
                 self.count_notice(endpoint, "rests");
                 log::info!("gateway: endpoint {} asks for {rest_ms} ms of rest", endpoint.id);
                 self.record_rest(endpoint, *rest_ms);
             }
-            RestAsked::Unreadable(value) => {
+            RequestedRest::Unreadable(value) => {
                 self.count_notice(endpoint, "unreadable");
                 log::info!("gateway: endpoint {} asks for no rest_ms: {value:?}", endpoint.id);
             }
@@ -96,7 +96,7 @@
         let now = self.now();
         let (id, started_at_ms) = (&endpoint.id, endpoint.started_at_ms);
         self.with_endpoints(|endpoints| endpoints.record_rest(now, id, started_at_ms, rest_ms));
-        self.placements.rest(StartOf { endpoint: id, started_at_ms }, rest_ms);
+        self.placements.record_rest(EndpointStartRef { endpoint: id, started_at_ms }, rest_ms);
     }
 
     /// An endpoint told this router that it leaves. From here on that is known as if it had
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -19,11 +19,11 @@
 use crate::feed::{Followed, Subscriptions};
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
-use crate::placement::{Ending, LocalPlacer, Placements, Reservation};
-use crate::quarantine::{Guard, KnownStarts, SharedQuarantine};
+use crate::placement::{Completion, LocalPlacer, PlacementClient, Reservation};
+use crate::quarantine::{CrashGuard, KnownStarts, SharedQuarantine};
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 use crate::rollout::SharedRollouts;
-use crate::routing::Documents;
+use crate::routing::CurrentRouting;
 use crate::settings::{GatewaySettings, RouterSettings};
 use crate::telemetry::GatewayMetrics;
 use crate::wire::Role;
@@ -37,17 +37,17 @@
     /// The other hosts.
     pub peers: Arc<Peers>,
     /// The routing in force.
-    pub documents: Arc<Documents>,
+    pub documents: Arc<CurrentRouting>,
     /// The endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
     pub rollouts: Arc<SharedRollouts>,
     /// Which requests crash endpoints.
-    pub guard: Arc<Guard>,
+    pub guard: Arc<CrashGuard>,
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Where requests for engines go.
-    pub placements: Arc<Placements>,
+    pub placements: Arc<PlacementClient>,
     /// Names and formats of heads.
     pub header_names: Arc<HeaderNames>,
     /// Connections to endpoints.
@@ -79,12 +79,12 @@
         header_names: Arc<HeaderNames>,
         stop: CancellationToken,
     ) -> Arc<Gateway> {
-        let documents = Arc::new(Documents::default());
+        let documents = Arc::new(CurrentRouting::default());
         let registry = Arc::new(SharedRegistry::default());
         let rollouts = Arc::new(SharedRollouts::default());
         let hall = settings.host.hall.clone();
         let quarantine = Arc::new(SharedQuarantine::default());
-        let guard = Arc::new(Guard::new(quarantine.clone(), peers.me, peers.clock));
+        let guard = Arc::new(CrashGuard::new(quarantine.clone(), peers.me, peers.clock));
         let followed = Followed {
             documents: documents.clone(),
             registry: registry.clone(),
@@ -98,7 +98,7 @@
         let overload = Arc::new(Mutex::new(Overload::new(rules.overload)));
         let lag = watch_lag(overload.clone());
         let max_connections = rules.overload.max_caller_connections();
-        let placements = Placements::start(peers.clone(), feeds.clone(), local, hall, lag);
+        let placements = PlacementClient::start(peers.clone(), feeds.clone(), local, hall, lag);
         let budgets = RetryBudgets::new(rules.retry_budget, 1);
         Arc::new(Gateway {
             settings,
@@ -328,7 +328,7 @@
             });
             self.observation.record_answered();
             if let Some(reservation) = &mut self.reservation {
-                reservation.begun();
+                reservation.record_first_event();
             }
         }
     }
@@ -340,9 +340,9 @@
     }
 
     /// Says how the request ended.
-    pub fn set_completion(&mut self, ending: Ending) {
+    pub fn set_completion(&mut self, ending: Completion) {
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_ending(ending);
+            reservation.set_completion(ending);
         }
     }
 }
@@ -365,11 +365,11 @@
     while watch.changed().await.is_ok() {
         let changes = gateway.registry.read(|r| r.changes_after(seen, usize::MAX, Scope::All));
         seen = changes.upto;
-        let start_events = known_starts.news(&changes.endpoints);
+        let start_events = known_starts.apply_changes(&changes.endpoints);
         for start in &start_events {
             gateway.connections.close_idle(start.id());
         }
-        gateway.guard.take_starts(start_events);
+        gateway.guard.record_starts(start_events);
         for endpoint in &changes.endpoints {
             if endpoint.state != EndpointState::Ready {
                 gateway.connections.close_idle(&endpoint.id);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -16,7 +16,7 @@
 use super::exchange::{self, PendingAnswer, strip_connection_headers};
 use super::request::Call;
 use super::state::Assignment;
-use crate::placement::Ending;
+use crate::placement::Completion;
 
 /// A stream under way. Dropping it closes the endpoint's connection, which ends
 /// the run there.
@@ -47,7 +47,7 @@
 /// The answer for the caller: the endpoint's head, and its events as they come.
 pub(super) fn relay(call: &Arc<Call>, pending: PendingAnswer) -> Response<Body> {
     let PendingAnswer { response, connection, mut assignment } = pending;
-    assignment.set_completion(Ending::Abandoned);
+    assignment.set_completion(Completion::Abandoned);
     let (mut head, incoming) = response.into_parts();
     strip_connection_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
@@ -107,7 +107,7 @@
     /// The stream came to its end.
     fn finish(&mut self) -> Option<Bytes> {
         if let Some(mut source) = self.source.take() {
-            source.assignment.set_completion(Ending::Served);
+            source.assignment.set_completion(Completion::Served);
             self.call.record_served();
             self.call.gateway.connections.keep_idle(&source.assignment.endpoint, source.connection);
         }
@@ -126,7 +126,7 @@
             assignment.started_at_ms,
             Failure::Failed,
         );
-        lost.assignment.set_completion(Ending::Failed);
+        lost.assignment.set_completion(Completion::Failed);
         lost.assignment.observation.record_failed();
         drop(lost);
         let Some(splitter) = &mut self.splitter else { return Err(StreamError::Truncated) };
@@ -155,7 +155,7 @@
             return Err(StreamError::Truncated);
         }
         call.gateway.metrics.resumed.with_label_values(&[&call.service]).inc();
-        assignment.set_completion(Ending::Abandoned);
+        assignment.set_completion(Completion::Abandoned);
         self.source = Some(Source { incoming: response.into_body(), connection, assignment });
         Ok(())
     }
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -7,11 +7,11 @@
 
 use tokio::sync::Notify;
 
+use super::crash_analysis::CrashAnalysis;
 use super::doubts::Doubts;
-use super::inquiry::Inquiry;
 use super::model::{Quarantines, Stage};
 use super::report::CrashReport;
-use super::{Fingerprint, Observation, SharedQuarantine, StartNews, Witness};
+use super::{Fingerprint, Observation, ObservationLog, SharedQuarantine, StartEvent};
 use crate::clock::{Clock, epoch_ms};
 use crate::dispatch::Millis;
 use crate::feed::Subscriptions;
@@ -34,7 +34,7 @@
 
 /// What a router knows of requests that crash endpoints.
 #[derive(Debug)]
-pub struct Guard {
+pub struct CrashGuard {
     shared: Arc<SharedQuarantine>,
     me: HostId,
     clock: Clock,
@@ -47,16 +47,16 @@
 
 #[derive(Debug, Default)]
 struct Seen {
-    witness: Witness,
+    observation_log: ObservationLog,
     /// What this router would decide without a leader.
-    alone: Inquiry,
+    alone: CrashAnalysis,
     refused_alone: BTreeSet<Fingerprint>,
 }
 
-impl Guard {
+impl CrashGuard {
     /// The guard of router `me`, which has seen nothing, with what is agreed.
-    pub fn new(shared: Arc<SharedQuarantine>, me: HostId, clock: Clock) -> Guard {
-        Guard {
+    pub fn new(shared: Arc<SharedQuarantine>, me: HostId, clock: Clock) -> CrashGuard {
+        CrashGuard {
             shared,
             me,
             clock,
@@ -80,15 +80,17 @@
     }
 
     /// An endpoint broke off a request's answer.
-    pub fn lost(&self, endpoint: EndpointStart, fingerprint: &Fingerprint, ran: Duration) {
+    pub fn record_loss(&self, endpoint: EndpointStart, fingerprint: &Fingerprint, ran: Duration) {
         let ran_ms = u32::try_from(ran.as_millis()).unwrap_or(u32::MAX);
         self.doubts().note(self.clock.now(), &endpoint);
         self.has_doubts.store(true, Ordering::Relaxed);
-        self.see(|now, witness| witness.lost(now, endpoint, fingerprint.clone(), ran_ms));
+        self.see(|now, observation_log| {
+            observation_log.record_loss(now, endpoint, fingerprint.clone(), ran_ms)
+        });
     }
 
     /// An endpoint answered a request that was sent to it so long ago.
-    pub fn answered(&self, endpoint: &str, started_at_ms: u64, sent_ago: Duration) {
+    pub fn record_answer(&self, endpoint: &str, started_at_ms: u64, sent_ago: Duration) {
         if !self.has_doubts.load(Ordering::Relaxed) {
             return;
         }
@@ -100,33 +102,35 @@
         drop(doubts);
         if is_refuted {
             let endpoint = EndpointStart { id: endpoint.to_string(), started_at_ms };
-            self.see(|now, witness| witness.answered(now, &endpoint, sent));
+            self.see(|now, observation_log| observation_log.record_answer(now, &endpoint, sent));
         }
     }
 
     /// An endpoint sends on an answer that began before.
-    pub fn heard(&self, endpoint: &str, started_at_ms: u64) {
-        self.answered(endpoint, started_at_ms, READ_LATE);
+    pub fn record_stream_data(&self, endpoint: &str, started_at_ms: u64) {
+        self.record_answer(endpoint, started_at_ms, READ_LATE);
     }
 
     /// A request was served whole.
-    pub fn served(&self, fingerprint: &Fingerprint) {
+    pub fn record_served(&self, fingerprint: &Fingerprint) {
         let is_suspect = self.shared.agreed().get(fingerprint).is_some();
-        self.see(|now, witness| witness.served(now, fingerprint, is_suspect));
+        self.see(|now, observation_log| {
+            observation_log.record_served(now, fingerprint, is_suspect)
+        });
     }
 
-    fn see(&self, see: impl FnOnce(Millis, &mut Witness) -> Option<Observation>) {
+    fn see(&self, see: impl FnOnce(Millis, &mut ObservationLog) -> Option<Observation>) {
         let now = self.clock.now();
         let mut seen = self.seen();
-        let Some(observation) = see(now, &mut seen.witness) else { return };
-        seen.alone.take(now, self.me, observation);
+        let Some(observation) = see(now, &mut seen.observation_log) else { return };
+        seen.alone.record(now, self.me, observation);
         drop(seen);
         self.noticed.notify_one();
     }
 
     /// What became known of starts of endpoints.
-    pub fn take_starts(&self, news: Vec<StartNews>) {
-        self.seen().alone.take_starts(self.clock.now(), news);
+    pub fn record_starts(&self, news: Vec<StartEvent>) {
+        self.seen().alone.record_starts(self.clock.now(), news);
     }
 
     /// What this router would decide without a leader.
@@ -134,12 +138,12 @@
         let now = self.clock.now();
         let agreed = self.shared.agreed();
         let at_epoch = |at_ms| self.clock.at_epoch(at_ms);
-        let suspicion = |fingerprint: &_| agreed.suspicion(fingerprint, at_epoch);
+        let quarantine_state = |fingerprint: &_| agreed.quarantine_state(fingerprint, at_epoch);
         let mut seen = self.seen();
         if !seen.alone.is_due(now) {
             return;
         }
-        seen.alone.review(now, suspicion);
+        seen.alone.review(now, quarantine_state);
         // Nobody has to be told that they are released.
         seen.alone.take_served();
         seen.refused_alone = seen.alone.blamed().clone();
@@ -158,12 +162,12 @@
                 now.revision(),
             );
             if quarantine.stage == Stage::Refused {
-                seen.witness.refused(self.clock.now(), fingerprint);
+                seen.observation_log.record_refusal(self.clock.now(), fingerprint);
             }
         }
-        for fingerprint in before.let_run_again(now) {
-            seen.witness.forgive(fingerprint);
-            seen.alone.forgive(self.clock.now(), fingerprint);
+        for fingerprint in before.no_longer_refused(now) {
+            seen.observation_log.discard_losses(fingerprint);
+            seen.alone.discard_losses(self.clock.now(), fingerprint);
         }
         for (fingerprint, _) in before.all().filter(|(f, _)| now.get(f).is_none()) {
             log::info!("quarantine: {fingerprint} is released, revision {}", now.revision());
@@ -171,21 +175,22 @@
     }
 
     fn report(&self) -> CrashReport {
-        self.seen().witness.report(self.clock.now())
+        self.seen().observation_log.report(self.clock.now())
     }
 
     fn tell_anew(&self) {
-        self.seen().witness.tell_anew(self.clock.now());
+        self.seen().observation_log.tell_anew(self.clock.now());
     }
 
     /// How long there is nothing to tell; none for as long as nothing is seen.
     fn quiet_for(&self) -> Option<Duration> {
         let seen = self.seen();
-        if seen.witness.is_empty() {
+        if seen.observation_log.is_empty() {
             return None;
         }
         let now = self.clock.now();
-        let due = seen.witness.due().map(|due| Duration::from_millis(due.saturating_sub(now)));
+        let due =
+            seen.observation_log.due().map(|due| Duration::from_millis(due.saturating_sub(now)));
         Some(due.map_or(LOOK_EVERY, |due| due.min(LOOK_EVERY)))
     }
 
@@ -199,7 +204,7 @@
 }
 
 /// Tells whoever leads what this router saw of crashes, until the process ends.
-pub async fn report_crashes(guard: Arc<Guard>, feeds: Arc<Subscriptions>) {
+pub async fn report_crashes(guard: Arc<CrashGuard>, feeds: Arc<Subscriptions>) {
     let mut agreed = guard.shared.watch();
     let mut known = Arc::<Quarantines>::default();
     let mut told = None;
--- a/src/quarantine/shared.rs
+++ b/src/quarantine/shared.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::{Notify, watch};
 
-use super::model::{QuarantineNews, Quarantines};
+use super::model::{QuarantineUpdate, Quarantines};
 use super::report::{CrashReport, Observation};
 use crate::wire::HostId;
 
@@ -54,12 +54,12 @@
     }
 
     /// Takes news of it in, if they are newer.
-    pub fn adopt(&self, news: QuarantineNews) {
+    pub fn adopt(&self, news: QuarantineUpdate) {
         self.agreed.send_if_modified(|known| Arc::make_mut(known).adopt(news));
     }
 
     /// A router reported to this host; false where it is dropped.
-    pub fn report(&self, router: HostId, report: CrashReport) -> bool {
+    pub fn receive_report(&self, router: HostId, report: CrashReport) -> bool {
         let mut waiting = self.waiting();
         let has_room = waiting.len() + report.observations.len() <= MOST_WAITING;
         if has_room {
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -55,7 +55,7 @@
     /// How much of the evidence that reject_at is there: 1 and more is bad.
     pub level: f64,
     /// Where and what.
-    pub what: String,
+    pub description: String,
 }
 
 /// What speaks against a release, growing with each answer that does and falling with
@@ -119,16 +119,21 @@
 
 /// Good answers whose time is known.
 fn good(counts: &AnswerCounts) -> u32 {
-    counts.took.iter().map(|(_, answers)| answers).sum()
+    counts.first_byte_times.iter().map(|(_, answers)| answers).sum()
 }
 
 fn slower_than(counts: &AnswerCounts, limit: u8) -> u32 {
-    counts.took.iter().filter(|(bucket, _)| *bucket > limit).map(|(_, answers)| answers).sum()
+    counts
+        .first_byte_times
+        .iter()
+        .filter(|(bucket, _)| *bucket > limit)
+        .map(|(_, answers)| answers)
+        .sum()
 }
 
 /// The bucket up to which this part of the good answers took.
 fn quantile(counts: &AnswerCounts, part: f64) -> u8 {
-    let mut took = counts.took.clone();
+    let mut took = counts.first_byte_times.clone();
     took.sort_unstable();
     let wanted = f64::from(good(counts)) * part;
     let mut sum = 0.0;
@@ -263,7 +268,7 @@
     }
 
     /// Takes answers in that came since the last window was closed.
-    pub fn take(&mut self, tally: &RouteTally) {
+    pub fn record(&mut self, tally: &RouteTally) {
         let route = self.routes.entry(tally.route.clone()).or_default();
         let (answers, failed) = (tally.answers.ended(), tally.answers.failed);
         match tally.release {
@@ -291,7 +296,7 @@
         self.failing.add(sum, reject_at, window);
         let mut worst = Finding {
             level: self.failing.level(reject_at),
-            what: format!(
+            description: format!(
                 "{} of {} answers fail, {} of {} by old releases",
                 self.new_failed, self.new_answers, self.old_failed, self.old_answers
             ),
@@ -303,7 +308,8 @@
             ];
             for (level, kind) in kinds {
                 if level > worst.level {
-                    worst = Finding { level, what: format!("answers on route {name} {kind}") };
+                    worst =
+                        Finding { level, description: format!("answers on route {name} {kind}") };
                 }
             }
         }
