--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,9 +1,9 @@
-//! The gateway: a router for opaque requests of any method, path and headers,
-//! by the routes of the agreed document.
+//! The gateway: a router that proxies HTTP requests of any method, path and headers
+//! according to the routes of the agreed routing document.
 //!
-//! A request is read whole, its route and customer are looked up, an endpoint is
-//! chosen, and the answer is passed on as it comes. What an endpoint has not run
-//! may be sent to another one; what it may have run only where that is allowed.
+//! The gateway buffers a request, resolves its route and customer, chooses an endpoint and
+//! streams the answer back. A request that an endpoint has not run may be retried on another;
+//! one that may have run is retried only where its route allows that.
 
 mod arrival;
 mod budget;
--- a/src/gateway/destination.rs
+++ b/src/gateway/destination.rs
@@ -1,4 +1,4 @@
-//! Finding a place for a request.
+//! Choosing the endpoint that a request is sent to.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::placement::{self, PlacementOutcome, PlacementRequest, Reservation};
 use crate::registry::Registration;
 
-/// Times that a placer is asked for one place, where this router knows that the endpoint
-/// which the placer chose takes no work.
+/// Most requests to the placer for one destination, where this router knows that the
+/// endpoint chosen by the placer takes no work.
 const MAX_PLACEMENT_REQUESTS: usize = 3;
 
-/// Where a request goes next.
+/// Where a request is sent next.
 pub(super) enum Destination {
     /// To this endpoint.
     Endpoint(Box<Registration>, Option<Reservation>),
-    /// No endpoint is known.
+    /// No eligible endpoint is known.
     NoEndpoint,
-    /// It cannot be served in time.
+    /// It cannot be served within its deadline.
     TooLate(placement::Refusal),
 }
 
 impl Call {
-    /// What decides between equal endpoints: the shared part of a prompt, else chance.
+    /// Breaks ties between endpoints: by the first part of the prompt, otherwise at random.
     fn preference(&self) -> Preference {
         match self.head.parts.first() {
             Some(part) => Preference::Affinity(part.id),
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Finds a place for the request. Where there is none but at endpoints that are being
-    /// asked whether they take work, it waits for their answers a moment.
+    /// Chooses the endpoint for the request. Where all candidates are waiting for a start
+    /// check, it waits a moment for the checks to end and tries once more.
     pub async fn choose_destination(&self, tried: &[String]) -> Destination {
         match self.choose_by_release(tried).await {
             Destination::NoEndpoint if self.wait_for_start_checks(tried).await => {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Where the new release of a service has no place, another may have one.
+    /// Falls back to another release where the new release of a service has no place.
     async fn choose_by_release(&self, tried: &[String]) -> Destination {
         let Some(eligibility) = self.eligibility() else { return Destination::NoEndpoint };
         let mut request = self.placement_request(&eligibility, tried);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Engines are chosen by the placer, all else by what this router has seen.
+    /// Engines are chosen by the placer, other endpoints from this router's observations.
     async fn choose_among(&self, mut request: PlacementRequest, tried: &[String]) -> Destination {
         let times = if self.is_engine { MAX_PLACEMENT_REQUESTS } else { 0 };
         for _ in 0..times {
@@ -73,8 +73,8 @@
                 PlacementOutcome::Reserved(reservation) => {
                     let id = &reservation.endpoint;
                     let endpoint = self.gateway.registry.read(|r| r.get_ready(id).cloned());
-                    // The placer may know an older registration or routing than this
-                    // router, and while it was asked a roll-out may have changed.
+                    // The placer may have an older registration or routing than this router,
+                    // and the rollout may have changed during the call.
                     if let Some(endpoint) = endpoint.filter(|e| self.may_be_sent_to(e)) {
                         return Destination::Endpoint(Box::new(endpoint), Some(reservation));
                     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Chooses an endpoint that was not tried before.
+    /// Chooses an endpoint that was not tried before from this router's observations.
     fn choose_locally(&self, tried: &[String]) -> Option<Registration> {
         let eligibility = self.eligibility()?;
         let now = self.gateway.now();
@@ -107,7 +107,7 @@
         })
     }
 
-    /// Which endpoints may run it now; none where none may.
+    /// Which endpoints may run it now; `None` when no endpoint may.
     pub(super) fn eligibility(&self) -> Option<Eligibility> {
         let version = self.version_rule()?;
         Some(Eligibility { regions: self.current_regions(), version })
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -1,7 +1,7 @@
-//! Choosing an endpoint from what this router has seen itself.
+//! Choosing an endpoint from what this router has observed itself.
 //!
-//! No health answer decides: what counts is how the requests went that were
-//! sent. An endpoint that fails is avoided for a while, longer each time.
+//! Health is inferred from the results of forwarded requests, not from health checks. An
+//! endpoint that fails is avoided for a time that doubles with each failure.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,22 +12,22 @@
 use crate::registry::Registration;
 use crate::wire::HostId;
 
-/// Shortest time for which an endpoint is avoided after a failure.
+/// Shortest time for which an endpoint is avoided after a failure, in milliseconds.
 const MIN_AVOID_MS: Millis = 300;
-/// Longest time for which an endpoint is avoided.
+/// Longest time for which an endpoint is avoided, in milliseconds.
 const MAX_AVOID_MS: Millis = 4_000;
-/// Endpoints preferred for one prompt.
+/// Endpoints among which requests with the same affinity are distributed.
 const PREFERRED_ENDPOINTS: usize = 2;
-/// Failures in a row after which an endpoint is avoided, where one may be chance.
+/// Consecutive failures after which an endpoint is avoided; a single one may be chance.
 const FAILURES_BEFORE_AVOIDING: u32 = 2;
-/// Milliseconds in which requests to a cold endpoint are counted: what it bears is a
-/// rate of a second.
+/// Milliseconds over which requests to a cold endpoint are counted. One second, since the
+/// capacity of a cold endpoint is given in requests per second.
 const SENT_WINDOW_MS: Millis = 1_000;
 
-/// What decides between endpoints that seem equal.
+/// Breaks ties between endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preference {
-    /// What a request has in common with others, whose prompt parts an engine keeps.
+    /// Hash of the prompt part that the request shares with others and that an engine caches.
     Affinity(u64),
     /// A random number, drawn for each request.
     Random(u64),
@@ -36,57 +36,56 @@
 /// How a request failed at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came about: it is unreachable.
+    /// No connection could be opened.
     Unreachable,
-    /// Another endpoint answers at its address: it is gone for good.
+    /// Another endpoint answers at its address: this one is gone for good.
     Replaced,
     /// It rejected the request without running it.
     Rejected,
-    /// It broke off, sent no answer or an error.
+    /// Its answer was truncated, missing or an error.
     Failed,
 }
 
 #[derive(Clone, Debug, Default)]
 struct ObservedEndpoint {
-    /// The start of the endpoint that was seen. Nothing of it holds of a later one.
+    /// The start that was observed. Observations of it do not apply to a later start.
     started_at_ms: u64,
-    /// The start's revivals when it answered last.
+    /// Revivals of the start when it last answered.
     revivals: u32,
     in_flight: u32,
     prompt_tokens: u64,
     failures: u32,
     avoid_until: Millis,
-    /// What it asked for itself. Unlike failures, no answer ends it before its time.
+    /// The rest that it requested. Unlike avoidance after failures, it isn't ended by a success.
     rest: Rest,
     replaced: bool,
-    /// When requests were sent to it in the last second.
+    /// When requests were sent to it within the last second.
     sent: VecDeque<Millis>,
 }
 
-/// This router's part of what cold endpoints of a service bear.
+/// This router's limit for requests to a cold endpoint of a service.
 ///
-/// Routers do not ask each other. Where a part is less than one request a second, some
-/// routers, drawn by hash for each endpoint, may send one, and the others none.
+/// Routers do not coordinate. Where the limit is less than one request per second, a hash of
+/// router and endpoint selects the routers that may send one; the others send none.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdLimit {
-    /// Requests a second that a cold endpoint bears from all routers together; none
-    /// where it bears as many as a warm one.
+    /// Requests per second that a cold endpoint accepts from all routers together; `None`
+    /// where it accepts as many as a warm one.
     pub per_second: Option<f64>,
-    /// Routers that share them.
+    /// Number of routers that share them.
     pub routers: usize,
     /// This router.
     pub router: HostId,
 }
 
 impl ColdLimit {
-    /// Of cold engines no part at all: their placer may send them all that they bear.
+    /// Sets the limit for cold engines to 0: the placer may use their whole capacity.
     pub fn reserved_for_placer(self, is_engine: bool) -> ColdLimit {
         let per_second = self.per_second.map(|bears| if is_engine { 0.0 } else { bears });
         ColdLimit { per_second, ..self }
     }
 
-    /// Requests a second that this router may send to a cold endpoint; none for as many
-    /// as it likes.
+    /// Requests per second that this router may send to a cold endpoint; `None` for no limit.
     fn allowance(&self, id: &str) -> Option<usize> {
         let part = self.per_second? / self.routers.max(1) as f64;
         let drawn = rendezvous_rank(u64::from(self.router.0), id) as f64 / u64::MAX as f64;
@@ -94,7 +93,7 @@
     }
 }
 
-/// What this router has seen of each endpoint.
+/// What this router has observed of each endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTracker {
     observed: HashMap<String, ObservedEndpoint>,
@@ -102,10 +101,10 @@
 }
 
 impl EndpointTracker {
-    /// Chooses among `ready`, leaving out those in `tried`. Requests with the same
-    /// affinity go to the same few endpoints as long as these have no more to do than
-    /// others; all else goes where least is under way, ties by a random number: most
-    /// of hundreds of routers have nothing under way, and must not agree on one.
+    /// Chooses among `ready`, leaving out those in `tried`. Requests with the same affinity
+    /// go to the same two endpoints, to the less loaded of them. Others go to the least loaded
+    /// endpoint. Ties are broken by a random number: most of hundreds of
+    /// routers have nothing in flight and would otherwise all choose the same endpoint.
     pub fn choose<'a>(
         &self,
         now: Millis,
@@ -134,19 +133,19 @@
         usable.into_iter().min_by_key(|r| self.load(r, preference))
     }
 
-    /// Whether an endpoint is not avoided after failures, nor tried after a rest.
+    /// Whether an endpoint is neither avoided after failures nor being probed after a rest.
     pub fn is_healthy(&self, now: Millis, endpoint: &Registration) -> bool {
         self.observed(endpoint)
             .is_none_or(|observed| observed.avoid_until <= now && !observed.rest.is_probing(now))
     }
 
-    /// Milliseconds for which an endpoint gets nothing because it asked for rest.
+    /// Milliseconds left of the rest that an endpoint requested; `None` when it is not resting.
     pub fn rest_left(&self, now: Millis, endpoint: &Registration) -> Option<Millis> {
         self.observed(endpoint)?.rest.remaining(now)
     }
 
-    /// Whether this start of an endpoint may have said that it leaves, rests or ends, and has
-    /// not answered since.
+    /// Whether this start may have reported that it leaves, rests or ends, and has not
+    /// answered since.
     pub fn is_uncertain(&self, now: Millis, endpoint: &Registration) -> bool {
         let answered = self.observed(endpoint).map_or(0, |observed| observed.revivals);
         if answered < endpoint.revivals {
@@ -155,7 +154,7 @@
         start_address(endpoint).is_some_and(|start| self.unattributed.may_apply_to(now, start))
     }
 
-    /// An answer came on a connection that was opened while this start was the latest known.
+    /// Records an answer on a connection opened while this start was the latest one known.
     pub fn record_notice(&mut self, now: Millis, endpoint: &Registration, notice: &Notice) {
         if endpoint.revivals > 0
             && let Some(observed) = self.observed_mut(&endpoint.id, endpoint.started_at_ms)
@@ -167,13 +166,14 @@
         }
     }
 
-    /// What answers said that later starts may have said.
+    /// Notices in answers that may have come from a later start than the one they were
+    /// recorded for.
     pub fn unattributed(&mut self) -> &mut UnattributedNotices {
         &mut self.unattributed
     }
 
-    /// Milliseconds until the first of these endpoints ends its rest; none where one may be
-    /// sent to now, or there are none.
+    /// Milliseconds until the first of these endpoints ends its rest; `None` when one of them
+    /// is not resting, or there are none.
     pub fn first_rest_end_ms<'a>(
         &self,
         now: Millis,
@@ -198,38 +198,38 @@
         }
     }
 
-    /// Whether an endpoint is cold and was sent this router's part of what it bears.
+    /// Whether an endpoint is cold and this router has reached its limit for it.
     fn is_too_cold(&self, now: Millis, endpoint: &Registration, cold: ColdLimit) -> bool {
         if endpoint.warmup_ms == 0 {
             return false;
         }
         let Some(allowance) = cold.allowance(&endpoint.id) else { return false };
         let lately = |at: &&Millis| **at + SENT_WINDOW_MS > now;
-        // What was sent to the start before may have reached this one.
+        // Requests sent to the previous start may have reached this one.
         let sent =
             self.observed.get(&endpoint.id).map_or(0, |o| o.sent.iter().filter(lately).count());
         sent >= allowance
     }
 
-    /// What was seen of an endpoint since it started.
+    /// What was observed of this start of an endpoint.
     fn observed(&self, endpoint: &Registration) -> Option<&ObservedEndpoint> {
         self.observed
             .get(&endpoint.id)
             .filter(|observed| observed.started_at_ms == endpoint.started_at_ms)
     }
 
-    /// The same, to be changed; none of a start after which a later one was seen.
+    /// Like `observed`, mutable. `None` when a later start has been observed.
     fn observed_mut(&mut self, id: &str, started_at_ms: u64) -> Option<&mut ObservedEndpoint> {
         let observed = self.observed.entry(id.to_string()).or_default();
         if observed.started_at_ms < started_at_ms {
-            // What was sent a moment ago may have reached this start, which is cold.
+            // Requests sent a moment ago may have reached this start, which is cold.
             let sent = std::mem::take(&mut observed.sent);
             *observed = ObservedEndpoint { started_at_ms, sent, ..ObservedEndpoint::default() };
         }
         (observed.started_at_ms == started_at_ms).then_some(observed)
     }
 
-    /// A request was sent to an endpoint that started at `started_at_ms`.
+    /// Records a request sent to the endpoint that started at `started_at_ms`.
     pub fn record_sent(&mut self, now: Millis, id: &str, started_at_ms: u64, prompt_tokens: u32) {
         let Some(observed) = self.observed_mut(id, started_at_ms) else { return };
         while observed.sent.front().is_some_and(|at| at + SENT_WINDOW_MS <= now) {
@@ -241,7 +241,7 @@
         observed.prompt_tokens += u64::from(prompt_tokens);
     }
 
-    /// Its prompt has been read: the first event came.
+    /// Records the first event of an answer: the prompt has been read.
     pub fn record_first_event(&mut self, id: &str, started_at_ms: u64, prompt_tokens: u32) {
         if let Some(observed) =
             self.observed.get_mut(id).filter(|observed| observed.started_at_ms == started_at_ms)
@@ -251,7 +251,7 @@
         }
     }
 
-    /// A request has ended.
+    /// Records that a request has ended.
     pub fn record_end(&mut self, id: &str, started_at_ms: u64) {
         if let Some(observed) =
             self.observed.get_mut(id).filter(|observed| observed.started_at_ms == started_at_ms)
@@ -261,7 +261,7 @@
         }
     }
 
-    /// A request was answered.
+    /// Records that a request was answered.
     pub fn record_success(&mut self, now: Millis, id: &str, started_at_ms: u64) {
         if let Some(observed) =
             self.observed.get_mut(id).filter(|observed| observed.started_at_ms == started_at_ms)
@@ -272,14 +272,14 @@
         }
     }
 
-    /// It turned a request away and asked for so many milliseconds of rest.
+    /// Records that it rejected a request and requested a rest of `time` milliseconds.
     pub fn record_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
         if let Some(observed) = self.observed_mut(id, started_at_ms) {
             observed.rest.extend(now, time);
         }
     }
 
-    /// A request failed; returns for how long the endpoint is avoided.
+    /// Records a failed request; returns for how many milliseconds the endpoint is avoided.
     pub fn record_failure(
         &mut self,
         now: Millis,
@@ -300,7 +300,7 @@
         avoid
     }
 
-    /// Forgets endpoints that are gone.
+    /// Removes an endpoint that is gone, unless requests are in flight at it.
     pub fn forget(&mut self, id: &str) {
         if self.observed.get(id).is_some_and(|o| o.in_flight == 0) {
             self.observed.remove(id);
@@ -308,14 +308,14 @@
     }
 }
 
-/// A start of an endpoint that can be reached.
+/// The address of this start of an endpoint, if one is known.
 fn start_address(endpoint: &Registration) -> Option<StartAddress<'_>> {
     let (id, started_at_ms) = (endpoint.id.as_str(), endpoint.started_at_ms);
     endpoint.address.map(|address| StartAddress { id, started_at_ms, address })
 }
 
-/// Rendezvous hashing: where requests of one kind go stays the same as endpoints
-/// come and go.
+/// Rendezvous hashing: requests with the same seed keep going to the same endpoint while
+/// others are added and removed.
 fn rendezvous_rank(seed: u64, id: &str) -> u64 {
     let mut key = seed.to_be_bytes().to_vec();
     key.extend_from_slice(id.as_bytes());
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its answer.
+//! Serving one request from its arrival to its answer.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -22,12 +22,12 @@
 use crate::rollout::ReleaseChoice;
 use crate::routing::Route;
 
-/// Endpoints to which one request is sent at most when none has taken it.
+/// Most endpoints to which one request is sent when none of them runs it.
 const MAX_ENDPOINTS_TRIED: usize = 4;
-/// Time left below which a request is not sent any more.
+/// A request with less time left than this is not sent to another endpoint.
 const MIN_REMAINING: Duration = Duration::from_millis(10);
 
-/// A request that has found its route and customer.
+/// A request whose route and customer are resolved.
 pub(super) struct Call {
     pub gateway: Arc<Gateway>,
     pub number: u64,
@@ -36,18 +36,18 @@
     pub is_engine: bool,
     pub cold_per_second: Option<f64>,
     pub customer: Option<String>,
-    /// Where it may be served, by the routing that it was taken with.
+    /// Regions in which it may be served, by the routing in force when it arrived.
     pub regions: AllowedRegions,
-    /// The version of that routing.
+    /// Version of the routing in force when it arrived.
     pub routing_version: u64,
     pub head: RequestHead,
     pub parts: Parts,
     pub body: Bytes,
-    /// What it has in common with the same request when it comes again.
+    /// Identifies the same request when it is sent again.
     pub fingerprint: Fingerprint,
     pub arrived: BootInstant,
     pub deadline: BootInstant,
-    /// What it has drawn while a release is rolled out.
+    /// Which release it was assigned to while a release is rolled out.
     pub release_choice: Mutex<ReleaseChoice>,
     pub _in_flight: InFlightGuard,
 }
@@ -62,7 +62,7 @@
         self.deadline.remaining()
     }
 
-    /// Whether the budget allows to send it again.
+    /// Takes one retry out of the service's budget; false when nothing is left.
     pub fn try_spend_retry(&self) -> bool {
         let now = self.gateway.now();
         self.gateway.with_budgets(|budgets| budgets.try_spend(now, &self.service))
@@ -83,15 +83,15 @@
             refusal.into_response()
         }
     };
-    // What comes next on this connection could not be handed over.
+    // Closes the connection, since later requests on it could not be handed over.
     if stopping || gateway.should_hand_over() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// That a route or key does not exist is final for a caller, so it is said only where
-/// the routing is known to be the newest; elsewhere the caller may ask again.
+/// Replaces a refusal for an unknown route or key by a retryable one unless the routing here
+/// is known to be the newest: callers treat the former as final.
 fn replace_if_unconfirmed(gateway: &Gateway, refusal: Refusal) -> Refusal {
     match refusal {
         Refusal::NoRoute | Refusal::UnknownKey if !gateway.feeds.is_current() => {
@@ -101,12 +101,12 @@
     }
 }
 
-/// Counts and logs a request that is refused before it has found its service.
+/// Counts and logs a request that is refused before its service is resolved.
 fn note_refusal(gateway: &Gateway, id: Option<&str>, refusal: Refusal) {
     gateway.metrics.outcomes.with_label_values(&["", refusal.name()]).inc();
     log::info!(
-        "gateway: request ({}) refused: {}, routing version {}, {} control hosts followed, \
-         newest announced {}, last heard {} ms ago",
+        "gateway: request ({}) refused: {}, routing version {}, {} control hosts connected, \
+         newest version announced {}, last message {} ms ago",
         id.unwrap_or_default(),
         refusal.name(),
         gateway.routing_version(),
@@ -116,7 +116,7 @@
     );
 }
 
-/// How often a request was sent, and what is known of its runs.
+/// Attempts made so far for one request.
 #[derive(Default)]
 struct Progress {
     tried: Vec<String>,
@@ -125,30 +125,30 @@
     last_error: Option<Response<Body>>,
 }
 
-/// Sends a request to endpoints until it has its answer.
+/// Sends a request to endpoints until one of them answers it or no attempt is left.
 pub(super) async fn run(call: Arc<Call>) -> Response<Body> {
     let mut progress = Progress::default();
-    let mut ended = Refusal::NoEndpoint;
+    let mut outcome = Refusal::NoEndpoint;
     while progress.tried.len() < MAX_ENDPOINTS_TRIED {
         if call.remaining() < MIN_REMAINING {
-            ended = Refusal::TimedOutUnsent;
+            outcome = Refusal::TimedOutUnsent;
             break;
         }
         if let Some(refusal) = call.crash_refusal() {
-            ended = refusal;
+            outcome = refusal;
             break;
         }
         let (endpoint, reservation) = match call.choose_destination(&progress.tried).await {
             Destination::Endpoint(endpoint, reservation) => (endpoint, reservation),
             Destination::NoEndpoint => {
                 if progress.tried.is_empty() {
-                    ended = call.no_endpoint_reason();
+                    outcome = call.no_endpoint_reason();
                 }
                 break;
             }
             Destination::TooLate(refusal) => {
                 log_too_late(&call, &refusal);
-                ended = Refusal::TooLate { retry_after_ms: refusal.retry_after_ms };
+                outcome = Refusal::TooLate { retry_after_ms: refusal.retry_after_ms };
                 break;
             }
         };
@@ -158,9 +158,9 @@
         call.record_failure_at(&endpoint.version, &attempt);
         match attempt {
             Attempt::Answered(response) => return finish(&call, &endpoint.id, response),
-            Attempt::NotSent => ended = Refusal::NotExecuted,
+            Attempt::NotSent => outcome = Refusal::NotExecuted,
             Attempt::NotExecuted => {
-                ended = Refusal::NotExecuted;
+                outcome = Refusal::NotExecuted;
                 if !call.try_spend_retry() {
                     break;
                 }
@@ -172,13 +172,13 @@
                 }
             }
             Attempt::Unknown => {
-                ended = Refusal::AnswerLost;
+                outcome = Refusal::AnswerLost;
                 if !may_run_again(&call, &mut progress) {
                     break;
                 }
             }
             Attempt::TimedOut => {
-                ended = Refusal::TimedOut;
+                outcome = Refusal::TimedOut;
                 if !may_run_again(&call, &mut progress) {
                     break;
                 }
@@ -189,18 +189,18 @@
         let endpoint = progress.tried.last().cloned().unwrap_or_default();
         return finish(&call, &endpoint, response);
     }
-    if matches!(ended, Refusal::NoEndpoint | Refusal::NotExecuted)
+    if matches!(outcome, Refusal::NoEndpoint | Refusal::NotExecuted)
         && let Some(rest_ms) = call.first_rest_end_ms()
     {
         log::info!(
-            "gateway: request {} meets only endpoints that rest, the first for {rest_ms} ms more",
+            "gateway: request {} found only resting endpoints, the first for another {rest_ms} ms",
             call.number
         );
-        ended = Refusal::EndpointsRest { retry_after_ms: rest_ms as u32 };
+        outcome = Refusal::EndpointsRest { retry_after_ms: rest_ms as u32 };
     }
-    // A promise that it has not run may be given only when that is sure.
-    if progress.may_have_run && ended.status() == StatusCode::SERVICE_UNAVAILABLE {
-        ended = Refusal::AnswerLost;
+    // 503 promises that the request has not run, so it is sent only when that is certain.
+    if progress.may_have_run && outcome.status() == StatusCode::SERVICE_UNAVAILABLE {
+        outcome = Refusal::AnswerLost;
     }
     let ms = call.arrived.elapsed().as_millis();
     log::info!(
@@ -208,17 +208,17 @@
         call.number,
         call.head.id.as_deref().unwrap_or_default(),
         call.route.name,
-        ended.name(),
+        outcome.name(),
         progress.tried
     );
-    count_outcome(&call, ended.name());
-    ended.into_response()
+    count_outcome(&call, outcome.name());
+    outcome.into_response()
 }
 
 fn log_too_late(call: &Call, refusal: &placement::Refusal) {
     let placement::Refusal { backlog_ms, allowed_ms, own_ms, share_percent, .. } = *refusal;
     log::info!(
-        "gateway: request {} ({}) of {} cannot be in time: {backlog_ms} ms of prompts before it, \
+        "gateway: request {} ({}) of {} cannot be in time: {backlog_ms} ms of prompts ahead of it, \
          {allowed_ms} allowed, {own_ms} ms for its own, customer at {share_percent} % of its share",
         call.number,
         call.head.id.as_deref().unwrap_or_default(),
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! State shared by the parts of a gateway.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -28,38 +28,38 @@
 use crate::telemetry::GatewayMetrics;
 use crate::wire::Role;
 
-/// A gateway and all that its parts share.
+/// A gateway and the state that its parts share.
 pub struct Gateway {
-    /// Its settings.
+    /// Settings of the router.
     pub settings: RouterSettings,
-    /// The part of its settings for requests by routes.
+    /// Settings of the gateway.
     pub rules: GatewaySettings,
-    /// The other hosts.
+    /// Connections to the other hosts.
     pub peers: Arc<Peers>,
     /// The routing in force.
     pub documents: Arc<CurrentRouting>,
-    /// The endpoints.
+    /// Registrations of endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
     pub rollouts: Arc<SharedRollouts>,
-    /// Which requests crash endpoints.
+    /// Refuses requests that crash endpoints.
     pub guard: Arc<CrashGuard>,
-    /// What control hosts tell.
+    /// Subscriptions to the control hosts.
     pub feeds: Arc<Subscriptions>,
-    /// Where requests for engines go.
+    /// Client of the placer, which chooses engines.
     pub placements: Arc<PlacementClient>,
-    /// Names and formats of heads.
+    /// Header names of requests and answers.
     pub header_names: Arc<HeaderNames>,
     /// Connections to endpoints.
     pub connections: Connections,
-    /// Counters.
+    /// Metrics of the gateway.
     pub metrics: GatewayMetrics,
-    /// Begins a planned stop.
+    /// Cancelled when a planned stop begins.
     pub stop: CancellationToken,
     pub(super) endpoints: Mutex<EndpointTracker>,
-    /// Endpoints that are being asked whether they take work.
+    /// Ids of endpoints with a start check in progress.
     start_checks: Mutex<BTreeSet<String>>,
-    /// Notified when such an endpoint has answered.
+    /// Notified when a start check has ended.
     pub(super) start_checks_ended: Notify,
     pub(super) budgets: Mutex<RetryBudgets>,
     releases: Mutex<Releases>,
@@ -133,38 +133,38 @@
         self.peers.clock.now()
     }
 
-    /// Works on what was seen of endpoints.
+    /// Runs `f` on what was observed of endpoints, under its lock.
     pub(super) fn with_endpoints<T>(&self, f: impl FnOnce(&mut EndpointTracker) -> T) -> T {
         f(&mut self.endpoints.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on the ids of endpoints that are being asked whether they take work.
+    /// Runs `f` on the ids of endpoints with a start check in progress, under their lock.
     pub(super) fn with_start_checks<T>(&self, f: impl FnOnce(&mut BTreeSet<String>) -> T) -> T {
         f(&mut self.start_checks.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// This router's part of what cold endpoints of a service bear.
+    /// This router's limit for requests to a cold endpoint of a service.
     pub(super) fn cold_limit(&self, per_second: Option<f64>, is_engine: bool) -> ColdLimit {
         let routers = self.feeds.routers();
         ColdLimit { per_second, routers, router: self.peers.me }.reserved_for_placer(is_engine)
     }
 
-    /// Works on the retry budgets.
+    /// Runs `f` on the retry budgets, under their lock.
     pub(super) fn with_budgets<T>(&self, f: impl FnOnce(&mut RetryBudgets) -> T) -> T {
         f(&mut self.budgets.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on what is known of releases.
+    /// Runs `f` on this router's state of the releases, under its lock.
     pub(super) fn with_releases<T>(&self, f: impl FnOnce(&mut Releases) -> T) -> T {
         f(&mut self.releases.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on what this router takes on.
+    /// Runs `f` on this router's load, under its lock.
     pub(super) fn with_overload<T>(&self, f: impl FnOnce(&mut Overload) -> T) -> T {
         f(&mut self.overload.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on what is known of the other routers of the data hall.
+    /// Runs `f` on what is known of the other routers of the data hall, under its lock.
     pub(super) fn with_neighbours<T>(&self, f: impl FnOnce(&mut Neighbours) -> T) -> T {
         f(&mut self.neighbours.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -184,18 +184,18 @@
         self.metrics.render()
     }
 
-    /// A number for a request, for the log.
+    /// A number that identifies a request in the log.
     pub(super) fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// An endpoint answered a request.
+    /// Records that an endpoint answered a request.
     pub(super) fn record_success(&self, endpoint: &Registration) {
         let now = self.now();
         self.with_endpoints(|e| e.record_success(now, &endpoint.id, endpoint.started_at_ms));
     }
 
-    /// A request failed at an endpoint.
+    /// Records that a request failed at an endpoint.
     pub(super) fn record_failure(&self, id: &str, started_at_ms: u64, failure: Failure) {
         let now = self.now();
         let avoided = self.with_endpoints(|e| e.record_failure(now, id, started_at_ms, failure));
@@ -204,17 +204,17 @@
         }
     }
 
-    /// Whether a planned stop takes no more requests.
+    /// Whether a planned stop has begun to refuse new requests.
     pub(super) fn is_refusing(&self) -> bool {
         self.refusing.load(Ordering::Relaxed)
     }
 
-    /// From here on a planned stop takes no more requests.
+    /// Makes a planned stop refuse new requests from now on.
     pub(super) fn stop_accepting(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Requests that are being served, here or by a router that took them over.
+    /// Requests in flight, served here or by a router that they were handed over to.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
@@ -224,19 +224,19 @@
         self.in_flight().saturating_sub(self.handing_over.load(Ordering::Relaxed))
     }
 
-    /// Whether callers' new connections should be handed over to other routers.
+    /// Whether new connections of callers should be handed over to other routers.
     pub(super) fn should_hand_over(&self) -> bool {
         let serving = self.serving();
         self.with_overload(|overload| overload.should_hand_over(serving))
     }
 
-    /// A request is served here.
+    /// Counts a request that is served here, until the guard is dropped.
     pub(super) fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlightGuard { gateway: self.clone(), hands_over: false }
     }
 
-    /// A request is handed over to another router.
+    /// Counts a request that is handed over to another router, until the guard is dropped.
     pub(super) fn track_handover(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.handing_over.fetch_add(1, Ordering::Relaxed);
@@ -267,7 +267,7 @@
     })
 }
 
-/// A request under way; a planned stop waits until it is dropped.
+/// A request in flight; a planned stop waits until it is dropped.
 pub(super) struct InFlightGuard {
     gateway: Arc<Gateway>,
     hands_over: bool,
@@ -282,17 +282,17 @@
     }
 }
 
-/// A request at an endpoint, counted there until dropped.
+/// A request assigned to an endpoint, counted there until dropped.
 pub(super) struct Assignment {
     gateway: Arc<Gateway>,
     /// The endpoint's id.
     pub endpoint: String,
-    /// The start of the endpoint that it was sent to.
+    /// The start of the endpoint that it was sent to, in milliseconds.
     pub started_at_ms: u64,
     prompt_tokens: u32,
     has_begun: bool,
     reservation: Option<Reservation>,
-    /// What it says of the endpoint's release.
+    /// What it shows about the endpoint's release.
     pub observation: ReleaseObservation,
 }
 
@@ -319,7 +319,7 @@
         }
     }
 
-    /// The first part of the answer came.
+    /// Records the first part of the answer.
     pub fn record_first_event(&mut self) {
         if !std::mem::replace(&mut self.has_begun, true) {
             let tokens = self.prompt_tokens;
@@ -333,13 +333,13 @@
         }
     }
 
-    /// The address of the engine from which kept parts can be copied.
+    /// The address of the engine from which cached prompt parts can be copied.
     pub fn copy_from(&self) -> Option<std::net::SocketAddr> {
         let source = self.reservation.as_ref()?.copy_from.as_deref()?;
         self.gateway.registry.read(|registry| registry.get(source)?.address)
     }
 
-    /// Says how the request ended.
+    /// Records how the request ended.
     pub fn set_completion(&mut self, ending: Completion) {
         if let Some(reservation) = &mut self.reservation {
             reservation.set_completion(ending);
@@ -356,8 +356,8 @@
     }
 }
 
-/// Takes in what the registry learns of endpoints: closes kept connections to those that take
-/// no more work or have started again, and checks those of which it is not certain.
+/// Applies changes of the registry: closes idle connections to endpoints that take no work any
+/// more or have restarted, and checks endpoints whose state is uncertain.
 pub(super) async fn follow_registry(gateway: Arc<Gateway>) {
     let mut watch = gateway.registry.watch();
     let mut seen = 0;
