--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one endpoint, and the head of its answer.
+//! One attempt: sending a request to one endpoint and receiving the head of its answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 use crate::registry::Registration;
 use crate::routing::RouteKind;
 
-/// Largest answer that is not a stream, in bytes.
+/// Largest answer other than a stream, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// A repeatable request is given up at one endpoint after so many times its
-/// objective, to be sent to another.
+/// An idempotent request is given up at one endpoint and sent to another after this multiple
+/// of the route's objective.
 const ANSWER_TIMEOUT_OBJECTIVES: u64 = 3;
-/// The shortest time for which one endpoint is waited for.
+/// Shortest time to wait for an answer of one endpoint.
 const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What came of one attempt.
+/// Result of one attempt.
 pub(super) enum Attempt {
     /// The answer, for the caller.
     Answered(Response<Body>),
@@ -39,13 +39,13 @@
     NotSent,
     /// The endpoint states that it did not run it.
     NotExecuted,
-    /// It may have run; there is no answer that could be passed on.
+    /// It may have run; there is no answer that could be forwarded.
     Unknown,
-    /// It may have run; no answer came in time.
+    /// It may have run; no answer arrived in time.
     TimedOut,
 }
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [header::HeaderName; 8] = [
     header::CONNECTION,
     header::HeaderName::from_static("keep-alive"),
@@ -57,7 +57,7 @@
     header::UPGRADE,
 ];
 
-/// Removes what concerns one connection only, also where `Connection` names it.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub(super) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named = headers.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
     let named: Vec<_> = named.flat_map(|text| text.split(',')).map(str::trim).collect();
@@ -68,7 +68,7 @@
     }
 }
 
-/// The request as an endpoint gets it.
+/// Builds the request that is sent to an endpoint.
 pub(super) fn request_for(
     call: &Call,
     endpoint: &Registration,
@@ -99,14 +99,14 @@
     path.map(Uri::from).unwrap_or_else(|| Uri::from_static("/"))
 }
 
-/// An endpoint's answer under way.
+/// An endpoint's answer whose head has arrived and whose body is still to be read.
 pub(super) struct PendingAnswer {
     pub response: Response<Incoming>,
     pub connection: Connection,
     pub assignment: Assignment,
 }
 
-/// Sends a request to one endpoint and waits for its answer, or for the head of
+/// Sends a request to one endpoint and waits for its complete answer, or for the head of
 /// its stream.
 pub(super) async fn attempt(
     call: &Arc<Call>,
@@ -123,8 +123,8 @@
     }
 }
 
-/// Sends a request and waits for the head of an answer that is the endpoint's
-/// own, to this request.
+/// Sends a request and waits for the head of an answer; fails unless the answer is that of
+/// this endpoint to this request.
 pub(super) async fn open(
     call: &Arc<Call>,
     endpoint: &Registration,
@@ -191,16 +191,20 @@
         }
         Err(_) => {
             call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
-            log::info!("gateway: request {} got no answer of {}", call.number, endpoint.id);
-            // Kept connections may be dead as well, and each would cost another request its
-            // whole time: six of six in a test, one with this.
+            log::info!(
+                "gateway: request {} got no answer from {} in time",
+                call.number,
+                endpoint.id
+            );
+            // Idle connections may be dead too, and each would cost another request its whole
+            // timeout: six of six requests in a test, and one when they are closed here.
             call.gateway.connections.close_idle(&endpoint.id);
             Err(Attempt::TimedOut)
         }
     }
 }
 
-/// The endpoint ended the connection before the whole answer.
+/// Records that the endpoint closed the connection before the answer was complete.
 fn answer_lost(
     call: &Call,
     endpoint: &Registration,
@@ -214,7 +218,7 @@
 
 fn reject_foreign_answer(call: &Call, endpoint: &Registration, reason: &str) -> Attempt {
     log::info!(
-        "gateway: request {} got no answer of its own at {}: {reason}",
+        "gateway: request {} got a foreign answer from {}: {reason}",
         call.number,
         endpoint.id
     );
@@ -222,7 +226,7 @@
     Attempt::Unknown
 }
 
-/// How long an endpoint is waited for.
+/// How long to wait for an answer of one endpoint.
 fn answer_timeout(call: &Call) -> Duration {
     let remaining = call.remaining();
     if !call.route.may_repeat() || call.route.attempts < 2 {
@@ -232,8 +236,8 @@
     remaining.min(timeout.max(MIN_ANSWER_TIMEOUT))
 }
 
-/// Whether a head is the endpoint's own answer to this request. One that asks for rest gets
-/// that, and is not taken to have failed besides.
+/// Checks that a head is the endpoint's own answer to this request. An endpoint that requests
+/// a rest is not also recorded as failed.
 fn check_head(
     call: &Call,
     endpoint: &Registration,
@@ -252,10 +256,10 @@
         return Err(Attempt::NotExecuted);
     }
     if head.id != call.head.id {
-        return Err(reject_foreign_answer(call, endpoint, "the answer is another request's"));
+        return Err(reject_foreign_answer(call, endpoint, "it belongs to another request"));
     }
     if !head.sealed {
-        return Err(reject_foreign_answer(call, endpoint, "the answer is not the endpoint's"));
+        return Err(reject_foreign_answer(call, endpoint, "it lacks the endpoint's seal"));
     }
     Ok(())
 }
@@ -279,7 +283,7 @@
     attempt
 }
 
-/// Reads a whole answer before any of it is passed on.
+/// Reads the complete answer before any of it is forwarded.
 async fn read_complete_answer(
     call: &Call,
     endpoint: &Registration,
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -1,10 +1,10 @@
-//! Handing callers' connections over between routers of a data hall.
+//! Handing over callers' connections between routers of a data hall.
 //!
-//! The platform may send one large customer's connections through one router, while the
-//! others have time to spare. A router behind its work passes the bytes of a new
-//! connection on to another router, unread, which serves one request on it: that costs
-//! a fraction of serving it. The other router must hold a routing at least as new, so
-//! that callers never see an older one than before.
+//! The platform may send all connections of a large customer through one router while others
+//! are idle. An overloaded router relays the bytes of a new connection to another router
+//! without parsing them, and the other router serves one request on it: that costs a fraction
+//! of serving the request. The other router's routing must be at least as new, so that callers
+//! never see an older routing than before.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,32 +26,32 @@
 use crate::peer::Incoming;
 use crate::wire::{Open, write_frame};
 
-/// Routers that are asked before a connection is served here.
+/// Most routers that are asked before a connection is served here.
 const MAX_ROUTERS_ASKED: usize = 2;
-/// How long a caller that connects may send nothing before its connection is served
-/// here, with the bounds that hold here.
+/// How long a caller may send nothing after connecting before its connection is served here,
+/// under the limits of this router.
 const FIRST_BYTES_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long the other router may take to begin an answer: it ends requests by itself
-/// when their time is over, so this bounds only a router that hangs. Chosen.
+/// How long to wait for the first bytes of the other router's answer. That router ends
+/// requests at their own deadline, so this only limits the wait for one that hangs.
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long bytes for the other router may stay unacknowledged.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Bytes that are passed on at once, at most.
+/// Size of the buffer for relayed bytes.
 const BUFFER_BYTES: usize = 4 << 10;
-/// What a caller gets whose request may have run at a router that was lost.
+/// Answer to a caller whose request may have run at a router that was lost.
 const ANSWER_LOST_RESPONSE: &[u8] =
     b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-/// Whether a router takes a caller's connection.
+/// Whether a router accepts a caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HandoverAnswer {
     /// It serves one request on it.
     Taken,
-    /// It has no time to spare.
+    /// It has no spare capacity.
     Busy,
     /// It is in a planned stop.
     Stopping,
-    /// Its routing is older than the asker's.
+    /// Its routing is older than that of the router that asks.
     Behind,
 }
 
@@ -66,11 +66,11 @@
     }
 }
 
-/// A connection to the router that takes a caller.
+/// A connection to the router that accepted a caller.
 type PeerStream = (BufReader<OwnedReadHalf>, OwnedWriteHalf);
 
-/// Hands a new connection over where this router is behind its work. Returns it if it
-/// is to be served here.
+/// Hands a new connection over if this router is overloaded. Returns it if it is to be
+/// served here.
 pub(super) async fn hand_over(
     gateway: &Arc<Gateway>,
     caller: TcpStream,
@@ -96,7 +96,10 @@
                 return None;
             }
             Err(error) => {
-                log::debug!("gateway: router {} try_accept no connection: {error}", neighbour.host);
+                log::debug!(
+                    "gateway: router {} did not accept a connection: {error}",
+                    neighbour.host
+                );
                 let now = gateway.now();
                 gateway
                     .with_neighbours(|neighbours| neighbours.record_refusal(now, neighbour.host));
@@ -126,17 +129,17 @@
     let timeout = Duration::from_millis(gateway.rules.overload.hand_over_answer_ms);
     let Ok(asked) = tokio::time::timeout(timeout, asking).await else {
         gateway.metrics.handed_over.with_label_values(&["silent"]).inc();
-        return RpcSnafu { message: "it says nothing" }.fail();
+        return RpcSnafu { message: "no answer in time" }.fail();
     };
     let (answer, reader, writer) = asked?;
     gateway.metrics.handed_over.with_label_values(&[answer.name()]).inc();
     match answer {
         HandoverAnswer::Taken => Ok((reader.into_inner(), writer)),
-        refused => RpcSnafu { message: format!("it is {}", refused.name()) }.fail(),
+        refused => RpcSnafu { message: format!("it answered {}", refused.name()) }.fail(),
     }
 }
 
-/// Passes bytes both ways until the answer is whole or either side leaves.
+/// Relays bytes both ways until the answer is complete or either side closes.
 async fn relay_connection(
     gateway: &Arc<Gateway>,
     caller: TcpStream,
@@ -144,11 +147,11 @@
     neighbour: Neighbour,
 ) {
     let (answers, requests) = peer;
-    // Without it a router that falls silent is noticed later.
+    // Without it an unresponsive router is detected later.
     let socket = socket2::SockRef::from(requests.as_ref());
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let (read, mut write) = caller.into_split();
-    // Its caller learns by this answer that the endpoint leaves, and this router has to.
+    // The answer may report that its endpoint leaves, which this router has to learn too.
     let on_leaving = || drop(tokio::spawn(fetch_leaving_report(gateway.clone(), neighbour)));
     let mut scanner = LeavingHeaderScanner::new(gateway.header_names.leaving.clone(), on_leaving);
     let relayed = tokio::select! {
@@ -156,14 +159,14 @@
         () = relay_request(read, requests) => return,
     };
     if relayed == 0 {
-        log::info!("gateway: an answer was lost at router {}", neighbour.host);
+        log::info!("gateway: answer lost at router {}", neighbour.host);
         gateway.metrics.handed_over.with_label_values(&["lost"]).inc();
-        // A caller that has left needs none.
+        // Fails when the caller has closed its connection, which needs no answer.
         let _ = write.write_all(ANSWER_LOST_RESPONSE).await;
     }
 }
 
-/// Returns once the caller has left.
+/// Returns once the caller has closed its connection.
 async fn relay_request(mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
@@ -172,13 +175,13 @@
             Ok(read) => read,
         };
         if to.write_all(&buffer[..read]).await.is_err() {
-            // The other direction notices that the router has left.
+            // The other direction detects that the router has closed.
             return std::future::pending().await;
         }
     }
 }
 
-/// Returns the bytes passed on until the router has closed, or the caller has left.
+/// Returns the bytes relayed until the router or the caller has closed its connection.
 async fn relay_answer(
     mut from: BufReader<OwnedReadHalf>,
     to: &mut OwnedWriteHalf,
@@ -204,7 +207,7 @@
     }
 }
 
-/// Takes connections that other routers hand over.
+/// Accepts connections that other routers hand over.
 pub(super) async fn accept_handovers(
     gateway: Arc<Gateway>,
     mut incoming: mpsc::Receiver<Incoming>,
@@ -217,7 +220,7 @@
             Open::Leaving { .. } => {
                 tokio::spawn(send_leaving_report(gateway.clone(), connection.writer));
             }
-            open => log::warn!("peer: a gateway try_accept no connection {open:?}"),
+            open => log::warn!("peer: a gateway accepts no connection {open:?}"),
         }
     }
 }
@@ -226,7 +229,7 @@
     let Incoming { reader, mut writer, .. } = connection;
     let answer = decide_handover(&gateway, version);
     if let Err(error) = write_frame(&mut writer, &answer).await {
-        log::debug!("gateway: a router that hands over has left: {error}");
+        log::debug!("gateway: cannot answer a router that hands over: {error}");
     } else if answer == HandoverAnswer::Taken {
         let io = tokio::io::join(reader.into_inner(), writer);
         let never = CancellationToken::new();
@@ -237,7 +240,7 @@
     }
 }
 
-/// Where it is taken, the connection counts from here on.
+/// Decides on a connection; an accepted one is counted from here on.
 fn decide_handover(gateway: &Gateway, version: u64) -> HandoverAnswer {
     if gateway.stop.is_cancelled() {
         return HandoverAnswer::Stopping;
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -1,7 +1,8 @@
-//! What a router that hands requests over learns of endpoints that leave.
+//! Detecting leaving endpoints in the answers of requests that were handed over.
 //!
-//! It passes answers on unread, so it looks at their heads only, and asks the router that
-//! served a request which endpoints it knows to leave.
+//! This router relays such answers without parsing them. It scans only their heads, and when
+//! one has the leaving header, requests the list of leaving endpoints from the router that
+//! served the request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,30 +19,30 @@
 use crate::registry::{EndpointStart, Hearing};
 use crate::wire::{Open, write_frame};
 
-/// Bytes of a head that are looked at.
+/// Most bytes of a head that are scanned.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Lines of a head that are looked at.
+/// Most header lines of a head that are parsed.
 const MAX_HEADERS: usize = 96;
-/// Endpoints that a router tells another of at most: more than a fleet has.
+/// Most starts in one report: more than a fleet has endpoints.
 const MAX_LEAVING_STARTS: usize = 2_048;
-/// How long the other router may take to tell.
+/// How long to wait for the report of another router.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Looks at the head of an answer as its bytes pass.
+/// Scans the head of an answer for the leaving header while its bytes are relayed.
 pub(super) struct LeavingHeaderScanner<F> {
     leaving: HeaderName,
     on_leaving: F,
-    /// The bytes so far; none once the head was whole, or is too long.
+    /// The bytes so far; `None` once the head is complete or too long.
     head: Option<Vec<u8>>,
 }
 
 impl<F: Fn()> LeavingHeaderScanner<F> {
-    /// Calls `on_leaving` once a head says by the header `leaving` that its endpoint leaves.
+    /// Calls `on_leaving` once a head has the header `leaving`.
     pub fn new(leaving: HeaderName, on_leaving: F) -> LeavingHeaderScanner<F> {
         LeavingHeaderScanner { leaving, on_leaving, head: Some(Vec::new()) }
     }
 
-    /// More bytes passed.
+    /// Scans the next bytes of the answer.
     pub fn scan(&mut self, bytes: &[u8]) {
         let Some(head) = &mut self.head else { return };
         head.extend_from_slice(bytes);
@@ -58,7 +59,7 @@
     }
 }
 
-/// Whether a head says that its endpoint leaves; none while it is not whole.
+/// Whether a head has the leaving header; `None` while the head is incomplete.
 fn parse_leaving(head: &[u8], leaving: &HeaderName) -> Option<bool> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -68,31 +69,31 @@
             header.name.eq_ignore_ascii_case(leaving.as_str())
                 && header.value.trim_ascii() == crate::notice::LEAVING_VALUE
         })),
-        // What is no head says nothing.
+        // Bytes that are no valid head contain no notice.
         Err(_) => Some(false),
     }
 }
 
-/// What a router knows of endpoints that leave.
+/// Leaving endpoints as reported by one router to another.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct LeavingReport {
-    /// Starts that leave.
+    /// Starts that are leaving.
     starts: Vec<EndpointStart>,
-    /// Starts that were known when an answer said so, and where that came from: it may have
-    /// been a later start's.
+    /// Starts that were the latest known when an answer reported leaving, and the addresses it
+    /// came from: the answer may have been a later start's.
     unattributed: Vec<(EndpointStart, SocketAddr)>,
 }
 
-/// Asks the router that served a request which endpoints leave.
+/// Requests the report from the router that served a request, and applies it.
 pub(super) async fn fetch_leaving_report(gateway: Arc<Gateway>, neighbour: Neighbour) {
     let asked =
         tokio::time::timeout(REPORT_TIMEOUT, request_leaving_report(&gateway, neighbour)).await;
-    let report = asked.unwrap_or_else(|_| RpcSnafu { message: "it says nothing" }.fail());
+    let report = asked.unwrap_or_else(|_| RpcSnafu { message: "no report in time" }.fail());
     match report {
         Ok(report) => apply_leaving_report(&gateway, &report),
         Err(error) => {
             let host = neighbour.host;
-            log::info!("gateway: router {host} does not tell which endpoints leave: {error}");
+            log::info!("gateway: router {host} did not report leaving endpoints: {error}");
         }
     }
 }
@@ -115,7 +116,7 @@
     reader.next().await
 }
 
-/// Tells another router which endpoints leave.
+/// Sends the leaving endpoints to another router.
 pub(super) async fn send_leaving_report(gateway: Arc<Gateway>, mut writer: OwnedWriteHalf) {
     let starts = gateway.registry.read(|registry| registry.leaving(MAX_LEAVING_STARTS));
     let unattributed = gateway.with_endpoints(|seen| {
@@ -123,6 +124,6 @@
         leaving.map(|start| (EndpointStart::from(start), start.address)).collect()
     });
     if let Err(error) = write_frame(&mut writer, &LeavingReport { starts, unattributed }).await {
-        log::debug!("gateway: a router that asked which endpoints leave has left: {error}");
+        log::debug!("gateway: cannot send the report of leaving endpoints: {error}");
     }
 }
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -1,17 +1,17 @@
-//! Requests whose endpoint ended their connection before the whole answer, and those that
-//! are refused because that comes of them.
+//! Answers lost because an endpoint closed the connection too early, and the refusal of
+//! requests that crash endpoints.
 
 use super::refusal::Refusal;
 use super::request::Call;
 use super::state::Assignment;
 use crate::registry::EndpointStart;
 
-/// Characters of a path that a log line shows.
+/// Most characters of a path in a log line.
 const MAX_LOGGED_PATH_CHARS: usize = 80;
 
 impl Call {
-    /// The endpoint ended the connection before the whole answer: it crashed, or the
-    /// connection broke.
+    /// Records that the endpoint closed the connection before the answer was complete: it
+    /// crashed, or the connection failed.
     pub(super) fn record_lost_answer(&self, assignment: &Assignment, reason: &str) {
         self.gateway.metrics.lost.with_label_values(&[&self.service]).inc();
         let since_sent = assignment.observation.sent_ago();
@@ -33,23 +33,23 @@
         self.gateway.guard.record_loss(endpoint, &self.fingerprint, since_sent);
     }
 
-    /// The endpoint began its own answer to this request: it is there.
+    /// Records that the endpoint began its own answer to this request, so it is alive.
     pub(super) fn record_answer_began(&self, assignment: &Assignment) {
         let sent_ago = assignment.observation.sent_ago();
         self.gateway.guard.record_answer(&assignment.endpoint, assignment.started_at_ms, sent_ago);
     }
 
-    /// The endpoint sends on its answer: it is there.
+    /// Records more data of an answer, so the endpoint is alive.
     pub(super) fn record_stream_data(&self, assignment: &Assignment) {
         self.gateway.guard.record_stream_data(&assignment.endpoint, assignment.started_at_ms);
     }
 
-    /// It was served whole.
+    /// Records that the answer was complete.
     pub(super) fn record_served(&self) {
         self.gateway.guard.record_served(&self.fingerprint);
     }
 
-    /// Why it is not sent to any endpoint, if it crashes them.
+    /// The refusal, if the request is known to crash endpoints.
     pub(super) fn crash_refusal(&self) -> Option<Refusal> {
         let has_leader = || self.gateway.feeds.leader().is_some();
         let retry_after_ms = self.gateway.guard.refusal(&self.fingerprint, has_leader)?;
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -1,4 +1,4 @@
-//! What answers say of their endpoints, where the gateway hears it.
+//! Notices in answers, by which endpoints report that they leave or request a rest.
 
 use std::sync::Arc;
 
@@ -13,15 +13,15 @@
 use crate::registry::{EndpointStart, Hearing, Registration};
 
 impl Call {
-    /// Takes in what the head of an answer says of its endpoint, whatever became of the
-    /// request. Returns whether it asks for rest.
+    /// Applies the notice in the head of an answer, whatever became of the request. Returns
+    /// whether it requests a rest.
     pub(super) fn apply_notice(
         &self,
         endpoint: &Registration,
         response: &Response<Incoming>,
     ) -> bool {
         let status = response.status();
-        // It was another endpoint's, which says nothing of the one that was meant.
+        // The answer is another endpoint's and says nothing about the intended one.
         if status == StatusCode::MISDIRECTED_REQUEST {
             return false;
         }
@@ -30,8 +30,8 @@
         notice.rest.duration_ms().is_some()
     }
 
-    /// Milliseconds until the first endpoint that may serve it ends its rest, where all of
-    /// them rest.
+    /// Milliseconds until the first endpoint that may serve it ends its rest; `None` unless all
+    /// of them are resting.
     pub(super) fn first_rest_end_ms(&self) -> Option<Millis> {
         let eligibility = self.eligibility()?;
         let now = self.gateway.now();
@@ -44,8 +44,8 @@
 }
 
 impl Gateway {
-    /// Takes in what an answer says of its endpoint. It came on a connection that was opened
-    /// while `endpoint` was the latest start known.
+    /// Applies the notice in an answer, received on a connection that was opened while
+    /// `endpoint` was the latest start known.
     pub(super) fn apply_notice(self: &Arc<Self>, endpoint: &Registration, notice: &Notice) {
         let now = self.now();
         self.with_endpoints(|endpoints| endpoints.record_notice(now, endpoint, notice));
@@ -57,21 +57,24 @@
             RequestedRest::None => {}
             RequestedRest::For(rest_ms) => {
                 self.count_notice(endpoint, "rests");
-                log::info!("gateway: endpoint {} asks for {rest_ms} ms of rest", endpoint.id);
+                log::info!("gateway: endpoint {} requests a rest of {rest_ms} ms", endpoint.id);
                 self.record_rest(endpoint, *rest_ms);
             }
             RequestedRest::Unreadable(value) => {
                 self.count_notice(endpoint, "unreadable");
-                log::info!("gateway: endpoint {} asks for no rest_ms: {value:?}", endpoint.id);
+                log::info!(
+                    "gateway: endpoint {} requests a rest of unreadable length: {value:?}",
+                    endpoint.id
+                );
             }
         }
-        // A later start may have become known while the answer was under way.
+        // A later start may have become known while the answer was in transit.
         if notice.refuses_work() {
             self.check_if_uncertain(&endpoint.id);
         }
     }
 
-    /// Counts a check of a start of an endpoint.
+    /// Counts a start check of an endpoint.
     pub(super) fn count_start_check(&self, endpoint: &Registration, outcome: &str) {
         self.metrics.start_checks.with_label_values(&[&endpoint.service, outcome]).inc();
     }
@@ -80,8 +83,8 @@
         self.metrics.notices.with_label_values(&[&endpoint.service, notice]).inc();
     }
 
-    /// Whether an endpoint may get a request at this moment. It may have begun to leave or to
-    /// rest while the request was placed, or waited for a connection.
+    /// Whether an endpoint may be sent a request at this moment. It may have begun to leave or
+    /// rest while the request was placed or waited for a connection.
     pub(super) fn takes_work(&self, endpoint: &Registration) -> bool {
         let now = self.now();
         self.registry.read(|registry| registry.start_takes_work(endpoint))
@@ -91,7 +94,7 @@
             })
     }
 
-    /// An endpoint wants nothing from this router for so long.
+    /// Records a rest of `rest_ms` that an endpoint requested from this router.
     fn record_rest(&self, endpoint: &Registration, rest_ms: Millis) {
         let now = self.now();
         let (id, started_at_ms) = (&endpoint.id, endpoint.started_at_ms);
@@ -99,13 +102,13 @@
         self.placements.record_rest(EndpointStartRef { endpoint: id, started_at_ms }, rest_ms);
     }
 
-    /// An endpoint told this router that it leaves. From here on that is known as if it had
-    /// registered so: the control host that it told may be cut off from all that this router
-    /// hears, and its answers are the only news.
+    /// Records that an endpoint reported in an answer that it leaves, as if it had registered
+    /// so. The control host that it reported to may be cut off from all those that this router
+    /// follows, and then the answer is the only notification that arrives here.
     fn record_leaving(&self, start: EndpointStart) {
         let starts = [start];
         if self.registry.leave(&starts, Hearing::SecondHand) {
-            log::info!("gateway: endpoint {} says in an answer that it leaves", starts[0].id);
+            log::info!("gateway: endpoint {} reports in an answer that it leaves", starts[0].id);
             self.feeds.report_leaving(&starts);
         }
     }
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -1,10 +1,10 @@
-//! When a router has more to do than its processor and descriptors bear.
+//! Load shedding of a router that lacks processor time or descriptors.
 //!
-//! Requests wait at every step for the event loop, and answers of other hosts
-//! seem late to it. So it sheds load in three steps: it hands new connections over to
-//! other routers; it is not ready for more, which the platform then gives to others;
-//! and if that is not enough, it refuses new requests at once, so that callers come
-//! back through another router.
+//! On a busy router, requests wait at every step for the event loop, and answers of other
+//! hosts appear late. It sheds load in three steps: it hands new connections over to other
+//! routers; it reports that it is not ready, so that the platform sends new connections to
+//! others; and if that is not enough, it refuses new requests at once, so that callers retry
+//! through another router.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OverloadRules {
-    /// Milliseconds of lag of the event loop from which on new connections are handed
-    /// over to other routers; at half of it no more.
+    /// Milliseconds of event loop lag from which new connections are handed over to other
+    /// routers, until the lag falls below half of it.
     pub hand_over_lag_ms: u64,
-    /// The same by requests that this router serves itself: a burst of one customer
-    /// is there before the lag shows it.
+    /// The same in requests that this router serves itself: a burst of one customer arrives
+    /// before the lag shows it.
     pub hand_over_requests: usize,
-    /// Milliseconds that another router may take to say whether it takes a connection:
-    /// several round trips within a data hall.
+    /// Milliseconds to wait for another router's answer to a handover: several round trips
+    /// within a data hall.
     pub hand_over_answer_ms: u64,
-    /// Milliseconds of lag of the event loop from which on new connections
-    /// should go elsewhere.
+    /// Milliseconds of event loop lag from which the router is not ready for new
+    /// connections.
     pub unready_lag_ms: u64,
-    /// Milliseconds of lag below which they may come again.
+    /// Milliseconds of lag below which it is ready again.
     pub ready_lag_ms: u64,
-    /// Milliseconds of lag from which on new requests are refused.
+    /// Milliseconds of lag from which new requests are refused.
     pub refuse_lag_ms: u64,
     /// Descriptors that the process may hold open.
     pub descriptors: usize,
@@ -38,8 +38,8 @@
     fn default() -> Self {
         OverloadRules {
             hand_over_lag_ms: 4,
-            // Streams of some 40 events that last a second: 0.12 cores bear 50 to 60
-            // (docs/CAPACITY.md), 0.25 cores twice as many.
+            // For streams of some 40 events that last a second: 0.12 cores serve 50 to 60 of
+            // them (docs/CAPACITY.md), 0.25 cores twice as many.
             hand_over_requests: 100,
             hand_over_answer_ms: 60,
             unready_lag_ms: 8,
@@ -50,10 +50,10 @@
     }
 }
 
-/// Descriptors kept back for files, feeds and sessions, in hundredths.
+/// Descriptors reserved for files, feeds and sessions, in percent.
 const RESERVED_PERCENT: usize = 10;
-/// Of the connections that callers may hold, the part from which on new ones
-/// should go elsewhere, in hundredths.
+/// Percentage of the connections that callers may hold, from which the router is not ready
+/// for new ones.
 const CROWDED_PERCENT: usize = 80;
 
 impl OverloadRules {
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a router takes on, given its load.
+/// A router's own load, and the work that it accepts under it.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
     rules: OverloadRules,
@@ -80,7 +80,7 @@
         Overload { rules, lag: Duration::ZERO, connections: 0, is_unready: false, handing_over }
     }
 
-    /// Takes in the lag of the event loop; returns whether readiness changed.
+    /// Records the lag of the event loop; returns whether readiness changed.
     pub fn set_lag(&mut self, lag: Duration) -> bool {
         self.lag = lag;
         let hand_over = Duration::from_millis(self.rules.hand_over_lag_ms);
@@ -92,7 +92,7 @@
         std::mem::replace(&mut self.is_unready, is_unready) != is_unready
     }
 
-    /// A caller connects; false where no more connections can be held.
+    /// Counts a new connection of a caller; false where no more can be held.
     pub fn try_add_connection(&mut self) -> bool {
         if self.connections >= self.rules.max_caller_connections() {
             return false;
@@ -101,7 +101,7 @@
         true
     }
 
-    /// A caller's connection has closed.
+    /// Counts a closed connection of a caller.
     pub fn remove_connection(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
@@ -110,19 +110,19 @@
         self.connections * 100 >= self.rules.max_caller_connections() * CROWDED_PERCENT
     }
 
-    /// Whether new connections should come here.
+    /// Whether the router is ready for new connections.
     pub fn is_ready(&self) -> bool {
         !self.is_unready
     }
 
-    /// Whether new connections are handed over to other routers, while this one serves
-    /// so many requests itself.
+    /// Whether new connections are handed over to other routers, given the number of requests
+    /// that this one serves itself.
     pub fn should_hand_over(&self, serving: usize) -> bool {
         self.handing_over || serving >= self.rules.hand_over_requests
     }
 
-    /// Whether connections that other routers hand over are taken, while this one serves
-    /// so many requests itself.
+    /// Whether connections that other routers hand over are accepted, given the number of
+    /// requests that this one serves itself.
     pub fn accepts_handover(&self, serving: usize) -> bool {
         !self.should_hand_over(serving) && !self.is_unready
     }
@@ -132,12 +132,12 @@
         self.lag >= Duration::from_millis(self.rules.refuse_lag_ms)
     }
 
-    /// Connections that callers hold.
+    /// Number of connections that callers hold.
     pub fn connections(&self) -> usize {
         self.connections
     }
 
-    /// The lag last taken in.
+    /// The lag last recorded.
     pub fn lag(&self) -> Duration {
         self.lag
     }
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -3,54 +3,54 @@
 use axum::body::Body;
 use axum::http::{HeaderValue, Response, StatusCode, header};
 
-/// When to come back if nothing better is known, in seconds.
+/// Default delay before a retry, in seconds.
 const DEFAULT_RETRY_AFTER_S: f64 = 0.25;
 
 /// Why the gateway itself ends a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No routing is known here yet.
+    /// No routing is in force here yet.
     NoRouting,
-    /// A planned stop takes no more requests.
+    /// A planned stop accepts no more requests.
     Stopping,
-    /// This router has more to do than it bears.
+    /// This router is overloaded.
     Overloaded,
-    /// No route fits.
+    /// No route matches.
     NoRoute,
     /// The key is missing or unknown.
     UnknownKey,
-    /// No route or key fits, and the routing here may not be the newest.
+    /// No route or key matches, but the routing here may be outdated.
     RoutingUnconfirmed,
     /// The body is too large.
     BodyTooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTooSlow,
-    /// The body broke off.
+    /// The body was truncated.
     BodyBroken,
     /// No endpoint of the service is known to take work.
     NoEndpoint,
-    /// Endpoints of the service take work, but none where the request may be served.
+    /// Endpoints of the service take work, but none in a region where the request may be served.
     NoAllowedRegion,
-    /// Each endpoint that may serve it has asked this router for rest.
+    /// Each endpoint that may serve it has requested a rest from this router.
     EndpointsRest {
-        /// Milliseconds after which the first of them takes work again.
+        /// Milliseconds until the first of them ends its rest.
         retry_after_ms: u32,
     },
-    /// Endpoints were asked and none ran it.
+    /// It was sent to endpoints and none ran it.
     NotExecuted,
     /// It cannot be served in time.
     TooLate {
-        /// Milliseconds after which to come back.
+        /// Milliseconds after which to retry.
         retry_after_ms: u32,
     },
     /// It crashed the endpoints that ran it before.
     CrashesEndpoints {
-        /// Milliseconds after which to come back.
+        /// Milliseconds after which to retry.
         retry_after_ms: u32,
     },
-    /// Time ran out before it was sent.
+    /// The deadline passed before it was sent.
     TimedOutUnsent,
-    /// Time ran out after it was sent.
+    /// The deadline passed after it was sent.
     TimedOut,
     /// It may have run, and its answer is lost.
     AnswerLost,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the rest of the caller's connection cannot be used any more.
+    /// Whether the caller's connection cannot be used for further requests.
     fn closes_connection(self) -> bool {
         matches!(
             self,
@@ -127,7 +127,7 @@
                 | Refusal::CrashesEndpoints { retry_after_ms } => {
                     f64::from(retry_after_ms) / 1_000.0
                 }
-                // Another router can take it at once.
+                // Another router can accept it at once.
                 Refusal::Overloaded => 0.0,
                 _ => DEFAULT_RETRY_AFTER_S,
             };
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! Releases that are rolled out, as this router's requests meet them.
+//! Choosing between releases for the requests of this router while one is rolled out.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, MutexGuard, PoisonError};
@@ -18,13 +18,13 @@
     SplitReason, TrafficSplitter, release_of,
 };
 
-/// How often the leader is told what was seen: several times within the second in which
-/// a bad release has to be found out, and few bytes.
+/// How often observations are reported to the leader: several times within the second in
+/// which a bad release must be detected, at few bytes each.
 const REPORT_INTERVAL: Duration = Duration::from_millis(180);
-/// How often a change of a service's part is logged at most, in milliseconds.
+/// Shortest interval between log lines about a service's share, in milliseconds.
 const LOG_INTERVAL_MS: Millis = 1_000;
 
-/// What this router knows of the releases of its services.
+/// This router's state of the releases of its services.
 #[derive(Debug, Default)]
 pub(super) struct Releases {
     splits: TrafficSplitter,
@@ -32,7 +32,7 @@
     logged_splits: BTreeMap<String, LoggedSplit>,
 }
 
-/// What goes to a new release, and why, as logged last.
+/// The share of a new release and the reason for it, as last logged.
 #[derive(Debug, PartialEq, Eq)]
 struct LoggedSplit {
     number: u64,
@@ -42,7 +42,7 @@
 }
 
 impl Releases {
-    /// Logs that another part of a service's requests goes to its new release.
+    /// Logs a changed share of a service's requests for its new release.
     fn log_split(
         &mut self,
         now: Millis,
@@ -61,13 +61,13 @@
             }
         }
         let version = &rollout.order.version;
-        log::info!("rollout: {version} of {service} is sent {permille} in 1000: {cause:?}");
+        log::info!("rollout: {version} of {service} gets {permille} of 1000 requests: {cause:?}");
         self.logged_splits.insert(service.clone(), split);
     }
 }
 
 impl Call {
-    /// Which releases may run it now; none where none may.
+    /// Which releases may run it now; `None` when none may.
     pub(super) fn version_rule(&self) -> Option<VersionRule> {
         let offset = rand::rng().random();
         self.with_router_state(|releases, choice, state| {
@@ -79,7 +79,7 @@
         })
     }
 
-    /// Whether it may be sent to an endpoint, by what is known at this moment.
+    /// Whether it may be sent to an endpoint, as far as is known at this moment.
     pub(super) fn may_be_sent_to(&self, endpoint: &Registration) -> bool {
         self.gateway.takes_work(endpoint)
             && self.crash_refusal().is_none()
@@ -88,12 +88,12 @@
                 .is_some_and(|eligibility| self.is_eligible(&eligibility, endpoint))
     }
 
-    /// The caller is about to get a piece of an answer of this release.
+    /// Binds the request to a release, before the caller gets the first piece of its answer.
     pub(super) fn bind(&self, version: &str) {
         self.release_choice().bind(version);
     }
 
-    /// Whether its answer may go on at the release that began it.
+    /// Whether its stream may be resumed on the release that began it.
     pub(super) fn may_resume(&self) -> bool {
         let offset = rand::rng().random();
         self.with_router_state(|releases, choice, state| {
@@ -101,8 +101,8 @@
         })
     }
 
-    /// It was sent to an endpoint of a release: where that came to nothing, it goes to
-    /// another.
+    /// Records a failed attempt at an endpoint of a release: if that is the new release, the
+    /// request is sent to another.
     pub(super) fn record_failure_at(&self, version: &str, attempt: &Attempt) {
         if matches!(attempt, Attempt::Answered(_)) {
             return;
@@ -112,9 +112,9 @@
         }
     }
 
-    /// Whether it was to go to the new release, had no place there, and may have one at
-    /// another. Once all go to the new one, what it could not serve in time is refused as
-    /// always: the others have to run dry.
+    /// Whether it was assigned to the new release, got no place there, and may get one at
+    /// another release. Once all requests go to the new release, those that it cannot serve in
+    /// time are refused as usual, since the other releases have to drain.
     pub(super) fn falls_back_from_new(&self, rule: &VersionRule, place: &Destination) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
         let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
@@ -124,7 +124,7 @@
         may_leave && self.release_choice().record_no_place_at_new(number)
     }
 
-    /// Whether it is of the part that goes to a new release while others go elsewhere.
+    /// Whether it is assigned to a new release that gets only a part of the requests.
     pub(super) fn is_partial_traffic(&self, rule: &VersionRule) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
         let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
@@ -149,7 +149,7 @@
         let grant = rollout.and_then(|rollout| {
             gateway.rollouts.grant(gateway.now(), &self.service, rollout.number)
         });
-        // Asked before the lock: it may look at many endpoints while old ones leave.
+        // Computed before taking the lock: it may visit many endpoints while old ones leave.
         let others_take_work = rollout.is_none_or(|rollout| self.others_take_work(rollout));
         let grant = grant.as_ref();
         let state = RouterState { rollout, grant, others_take_work };
@@ -157,7 +157,7 @@
         gateway.with_releases(|releases| f(releases, &mut choice, &state))
     }
 
-    /// Whether an endpoint of another release than the new one could run it.
+    /// Whether an endpoint of a release other than the new one could run it.
     fn others_take_work(&self, rollout: &Rollout) -> bool {
         if rollout.stage.is_final() {
             return true;
@@ -176,7 +176,7 @@
     }
 }
 
-/// Reports what this router sees to the leader while a release is rolled out.
+/// Reports this router's observations to the leader while a release is rolled out.
 pub(super) async fn report(gateway: Arc<Gateway>) {
     let mut table = gateway.rollouts.watch();
     let is_under_way = |table: &Arc<Rollouts>| table.all().any(|r| !r.stage.is_final());
--- a/src/gateway/start_checks.rs
+++ b/src/gateway/start_checks.rs
@@ -1,9 +1,9 @@
-//! Health checks of endpoints that started again, where an earlier answer or end may have been
-//! the new start's own.
+//! Health checks of restarted endpoints, where an earlier notice or lost answer may have come
+//! from the new start.
 //!
-//! A check has a connection of its own and names the endpoint. Only the head of its answer
-//! counts: whether the endpoint leaves or rests. The status does not, since answers to health
-//! checks may be false.
+//! A check uses its own connection and names the endpoint. Only the head of its answer counts:
+//! whether the endpoint is leaving or resting. The status is ignored, since the status of a
+//! health check may be wrong.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 use crate::notice::Notice;
 use crate::registry::Registration;
 
-/// How long an answer is waited for: a health check may wait for a free slot.
+/// How long to wait for an answer: a health check may queue for a free slot.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before a check that failed is repeated, doubled each time.
+/// Pause before a failed check is repeated, doubled each time.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between two checks.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 /// How long a request waits for checks when no other endpoint may run it.
 const MAX_REQUEST_WAIT: Duration = Duration::from_millis(300);
 
-/// Why a check says nothing of the endpoint.
+/// Why a check gave no result.
 #[derive(Debug, Snafu)]
 enum CheckError {
-    #[snafu(display("no configuration in force names its service"))]
+    #[snafu(display("its service is not in the routing in force"))]
     NoService,
-    #[snafu(display("its address is not known"))]
+    #[snafu(display("its address is unknown"))]
     NoAddress,
-    #[snafu(display("{path:?} is no health path: {source}"))]
+    #[snafu(display("invalid health path {path:?}: {source}"))]
     Path { path: String, source: axum::http::Error },
     #[snafu(display("no answer: {error:?}"))]
     NoAnswer { error: SendError },
@@ -46,8 +46,8 @@
 }
 
 impl Gateway {
-    /// Begins to check an endpoint that takes work by its registration and of which it is not
-    /// certain, unless that is under way.
+    /// Starts a check of a registered endpoint whose state is uncertain, unless one is in
+    /// progress.
     pub(super) fn check_if_uncertain(self: &Arc<Self>, id: &str) {
         if self.uncertain_endpoint(id).is_some()
             && self.with_start_checks(|ids| ids.insert(id.to_string()))
@@ -65,9 +65,9 @@
         })
     }
 
-    /// Ends the check of an endpoint, if it is certain by now.
+    /// Ends the check of an endpoint if its state is certain; returns whether it is.
     fn end_check_if_certain(&self, id: &str) -> bool {
-        // Under the lock: whoever finds it uncertain later begins another check.
+        // Under the lock, so that an endpoint found uncertain later gets a new check.
         self.with_start_checks(|ids| {
             let ends = self.uncertain_endpoint(id).is_none();
             if ends {
@@ -93,8 +93,8 @@
             }
             Err(error) => {
                 log::info!(
-                    "gateway: endpoint {id}, started at {}, gets no work until it answers a \
-                     check: {error}",
+                    "gateway: endpoint {id}, started at {}, gets no requests until it \
+                     answers a check: {error}",
                     endpoint.started_at_ms
                 );
                 gateway.count_start_check(&endpoint, "failed");
@@ -140,14 +140,14 @@
 }
 
 impl Call {
-    /// Waits a moment for checks of endpoints that could run it; whether any was waited for.
+    /// Waits a moment for checks of endpoints that could run it; returns whether it waited.
     pub(super) async fn wait_for_start_checks(&self, tried: &[String]) -> bool {
         let limit = tokio::time::Instant::now() + MAX_REQUEST_WAIT.min(self.remaining());
         let mut waited = false;
         loop {
             let ended = self.gateway.start_checks_ended.notified();
             tokio::pin!(ended);
-            // From here on it is told, also of what ends before it is awaited.
+            // Registers for notifications, including those sent before it is awaited.
             ended.as_mut().enable();
             if !self.has_uncertain_candidate(tried) {
                 return waited;
