--- a/benches/gateway.rs
+++ b/benches/gateway.rs
@@ -1,9 +1,9 @@
-//! Processor time that a router and a control host spend on requests by routes:
-//! streams of an engine, refusals, and calls of a plain service.
+//! Processor time that a router and a control host spend per request: for streams of an
+//! engine and for refusals.
 //!
-//! `cargo bench --bench gateway [-- SECONDS]`. Real processes on loopback, a
-//! stand-in for engines in this process. Prints milliseconds of processor time a
-//! request, read from `/proc`.
+//! `cargo bench --bench gateway [-- SECONDS]`. Real processes on loopback, with simulated
+//! engines in this process. Prints milliseconds of processor time per request, read from
+//! `/proc`.
 
 #[path = "../tests/platform/fleet.rs"]
 #[allow(dead_code, reason = "shared with the tests of the platform")]
@@ -24,13 +24,13 @@
 /// Events of one stream.
 const EVENTS: u32 = 40;
 /// Pause between events.
-const PAUSE: Duration = Duration::from_millis(25);
+const EVENT_PAUSE: Duration = Duration::from_millis(25);
 /// Engines that register.
 const ENGINES: usize = 100;
-/// Requests begun in a second.
-const PER_SECOND: u32 = 60;
-/// Clock ticks in a second of `/proc/PID/stat`.
-const TICKS: f64 = 100.0;
+/// Requests begun per second.
+const REQUESTS_PER_SECOND: u32 = 60;
+/// Clock ticks per second in `/proc/PID/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 fn configuration() -> String {
     let route = |name: &str, kind: &str, service: &str| {
@@ -58,25 +58,25 @@
     )
 }
 
-/// Seconds of processor time that a process has had.
+/// Processor time that a process has used, in seconds.
 fn processor_seconds(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let (_, fields) = stat.rsplit_once(')').unwrap();
     let fields: Vec<_> = fields.split_whitespace().collect();
     let ticks = |at: usize| fields[at].parse::<f64>().unwrap();
-    (ticks(11) + ticks(12)) / TICKS
+    (ticks(11) + ticks(12)) / TICKS_PER_SECOND
 }
 
 async fn load(fleet: &Fleet, name: &str, seconds: u32, prompt_tokens: u32) {
     let before = fleet.process_ids().map(processor_seconds);
     let began = Instant::now();
     let mut calls = Vec::new();
-    let total = seconds * PER_SECOND;
+    let total = seconds * REQUESTS_PER_SECOND;
     for number in 0..total {
         let front = fleet.front;
         let text = request(number, prompt_tokens);
         calls.push(tokio::spawn(async move { call(front, &text).await.status }));
-        let next = Duration::from_secs(1) * (number + 1) / PER_SECOND;
+        let next = Duration::from_secs(1) * (number + 1) / REQUESTS_PER_SECOND;
         tokio::time::sleep(next.saturating_sub(began.elapsed())).await;
     }
     let mut answered = 0;
@@ -96,7 +96,7 @@
 async fn main() {
     let seconds = std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(10);
     let fleet = Fleet::start().await;
-    let behaviour = Behaviour::Stream { events: EVENTS, pause: PAUSE };
+    let behaviour = Behaviour::Stream { events: EVENTS, pause: EVENT_PAUSE };
     for number in 0..ENGINES {
         let engine = Replica::start(&format!("i-{number}"), behaviour.clone()).await;
         fleet.register(&engine, "ready", 1).await;
@@ -105,6 +105,6 @@
     fleet.wait_ready().await;
     println!("router is process {}", fleet.process_ids()[0]);
     load(&fleet, "streams", seconds, 2_000).await;
-    // Nothing of this size can be in time.
+    // No request of this size can be served in time.
     load(&fleet, "refused", seconds, 4_000_000).await;
 }
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -1,4 +1,4 @@
-//! A request's arrival: its route, its customer and its body.
+//! Admission of an arriving request: its route, its customer and its body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::quarantine::Fingerprint;
 use crate::routing::{CustomerKeys, Route, Routing};
 
-/// Reads a request whole and finds where it belongs.
+/// Reads the complete request and resolves its route, customer and service.
 pub(super) async fn admit(
     gateway: &Arc<Gateway>,
     parts: Parts,
@@ -106,7 +106,7 @@
     Fingerprint::of(customer.unwrap_or_default(), &[path], body)
 }
 
-/// A target of the route, at random by weight.
+/// A target of the route, chosen at random by weight.
 fn pick_service(route: &Route) -> Option<String> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     if total == 0 {
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -1,19 +1,19 @@
-//! How often requests may be sent again, so that retries never multiply load.
+//! Retry budgets, so that retries never multiply load.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::dispatch::Millis;
 
-/// The bound for all routers together, for each service: repeated arrivals in
-/// any window stay below `ratio` times the requests of the window, plus `slack`.
+/// The limit for all routers together, for each service: the retries in any window stay
+/// below `ratio` times the requests of the window, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BudgetRules {
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
     /// Length of the window in seconds.
     pub window_s: f64,
-    /// Repeats allowed beyond the ratio, shared by all routers.
+    /// Retries allowed beyond the ratio, shared by all routers.
     pub slack: f64,
 }
 
@@ -23,16 +23,16 @@
     }
 }
 
-/// Part of the ratio that is used: the windows of the bound lie anywhere, those
-/// counted here begin with their first event.
+/// Fraction of the ratio that is used: the limit applies to every window, while those counted
+/// here begin with their first event.
 const USED_RATIO: f64 = 0.5;
-/// Part of the slack that is used by all routers together.
+/// Fraction of the slack that is used by all routers together.
 const USED_SLACK: f64 = 0.6;
 
 #[derive(Clone, Debug, Default)]
 struct ServiceHistory {
     requests: VecDeque<Millis>,
-    repeats: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
 }
 
 /// One router's part of the budgets.
@@ -49,12 +49,12 @@
         RetryBudgets { rules, routers: routers.max(1), services: HashMap::new() }
     }
 
-    /// The number of routers that share the slack.
+    /// Sets the number of routers that share the slack.
     pub fn set_routers(&mut self, routers: usize) {
         self.routers = routers.max(1);
     }
 
-    /// A request for a service came.
+    /// Records a request for a service.
     pub fn record_request(&mut self, now: Millis, service: &str) {
         let window = self.window_ms();
         let entry = match self.services.get_mut(service) {
@@ -65,18 +65,18 @@
         entry.requests.push_back(now);
     }
 
-    /// Takes one repeat out of the budget; false when nothing is left.
+    /// Takes one retry out of the budget; false when nothing is left.
     pub fn try_spend(&mut self, now: Millis, service: &str) -> bool {
         let window = self.window_ms();
         let slack = self.rules.slack * USED_SLACK / self.routers as f64;
         let ratio = self.rules.ratio * USED_RATIO;
         let entry = self.services.entry(service.to_string()).or_default();
         drop_expired(&mut entry.requests, now, window);
-        drop_expired(&mut entry.repeats, now, window);
+        drop_expired(&mut entry.retries, now, window);
         let allowed = ratio * entry.requests.len() as f64 + slack;
-        let granted = (entry.repeats.len() + 1) as f64 <= allowed;
+        let granted = (entry.retries.len() + 1) as f64 <= allowed;
         if granted {
-            entry.repeats.push_back(now);
+            entry.retries.push_back(now);
         }
         granted
     }
--- a/src/gateway/callers.rs
+++ b/src/gateway/callers.rs
@@ -1,4 +1,4 @@
-//! Requests that come on one caller's connection.
+//! Serving the requests on one caller's connection.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,20 +13,20 @@
 use super::request;
 use super::state::Gateway;
 
-/// The smallest buffer that the HTTP library takes, in bytes.
+/// The smallest buffer that the HTTP library accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 16 << 10;
 
-/// How many requests may come on one connection.
+/// How many requests may be sent on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KeepAlive {
-    /// One; its answer says so.
+    /// One; its answer closes the connection.
     OneRequest,
-    /// As many as come, until it has been idle for long.
+    /// Any number, until the connection has been idle for the idle timeout.
     UntilIdle,
 }
 
-/// Serves what comes on a caller's connection, until it ends or `closing` says that it
-/// should end once it is idle.
+/// Serves the requests on a caller's connection until it closes. Once `closing` is cancelled,
+/// the connection is closed as soon as it is idle.
 pub(super) async fn serve_requests(
     gateway: &Arc<Gateway>,
     io: impl AsyncRead + AsyncWrite + Unpin + Send,
@@ -53,6 +53,6 @@
         }
     };
     if let Err(error) = served {
-        log::debug!("gateway: a caller's connection: {error}");
+        log::debug!("gateway: connection of a caller failed: {error}");
     }
 }
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints, one request at a time on each.
+//! Pool of connections to endpoints, each for one request at a time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,34 +17,35 @@
 
 use crate::clock::BootInstant;
 
-/// How long a connection to an endpoint may take to come up.
+/// How long opening a connection to an endpoint may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long bytes may stay unacknowledged before a connection counts as dead.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long an unused connection is kept when the endpoint names no time.
+/// How long an idle connection is kept if the endpoint does not state a time.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Connections kept for one endpoint.
+/// Most idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 12;
-/// Subtracted from the time for which an endpoint says it keeps a connection.
+/// Subtracted from the keep-alive time that an endpoint states.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Why no answer came.
+/// Why no answer arrived.
 #[derive(Debug)]
 pub enum SendError {
     /// Nothing was written: the request has not run.
     NotSent(String),
-    /// It may not be sent there any more: nothing was written.
+    /// The request may no longer be sent there: nothing was written.
     NotAllowed,
     /// The request may have run.
     Unknown(String),
 }
 
-/// Whom a connection is opened to: a start of an endpoint, where it listens.
+/// The start of an endpoint that a connection is opened to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// The latest start known when the connection is opened: no earlier one answers on it.
+    /// The latest start known when the connection is opened, in milliseconds since the epoch: no
+    /// earlier start answers on it.
     pub started_at_ms: u64,
 }
 
@@ -56,18 +57,18 @@
     driver: AbortHandle,
     idle_timeout: Duration,
     idle_since: BootInstant,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.open_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Connection {
-    async fn open(target: Target, open: Arc<AtomicUsize>) -> Result<Connection, SendError> {
+    async fn open(target: Target, open_count: Arc<AtomicUsize>) -> Result<Connection, SendError> {
         let address = target.address;
         let not_sent = |error: &dyn std::fmt::Display| SendError::NotSent(error.to_string());
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
@@ -76,25 +77,25 @@
             Ok(Err(error)) => return Err(not_sent(&error)),
             Err(elapsed) => return Err(not_sent(&elapsed)),
         };
-        // Without these a connection is only slower to use or to give up.
+        // Without these a connection is only slower, or is given up later.
         let _ = stream.set_nodelay(true);
         let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(|error| not_sent(&error))?;
         let task = tokio::spawn(async move {
             if let Err(error) = driver.await {
-                log::debug!("gateway: connection to {address}: {error}");
+                log::debug!("gateway: connection to {address} failed: {error}");
             }
         });
         let idle_since = BootInstant::now();
-        open.fetch_add(1, Ordering::Relaxed);
+        open_count.fetch_add(1, Ordering::Relaxed);
         Ok(Connection {
             target,
             sender,
             driver: task.abort_handle(),
             idle_timeout: DEFAULT_IDLE_TIMEOUT,
             idle_since,
-            open,
+            open_count,
         })
     }
 
@@ -138,19 +139,19 @@
     }
 }
 
-/// Kept connections by endpoint.
+/// Idle connections by endpoint.
 #[derive(Debug)]
 pub struct Connections {
-    /// Connections that may be open; beyond them none is kept.
+    /// Connections that may be open; beyond that no idle one is kept.
     max_open: usize,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
     idle: Mutex<HashMap<String, Vec<Connection>>>,
 }
 
 impl Connections {
-    /// No connections yet, and at most so many that are kept.
+    /// An empty pool that keeps idle connections while fewer than `max_open` are open.
     pub fn new(max_open: usize) -> Connections {
-        Connections { max_open, open: Arc::default(), idle: Mutex::default() }
+        Connections { max_open, open_count: Arc::default(), idle: Mutex::default() }
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<String, Vec<Connection>>> {
@@ -158,11 +159,11 @@
     }
 
     fn is_full(&self) -> bool {
-        self.open.load(Ordering::Relaxed) >= self.max_open
+        self.open_count.load(Ordering::Relaxed) >= self.max_open
     }
 
-    /// Sends a request to an endpoint, on a kept connection where one is usable. A new
-    /// one takes a while, so whether it still may be sent is asked right before.
+    /// Sends a request to an endpoint, on an idle connection where one is usable. Opening a new
+    /// one takes a while, so `is_allowed` is evaluated again right before sending on it.
     pub async fn send(
         &self,
         endpoint: &str,
@@ -184,7 +185,7 @@
         if self.is_full() {
             self.lock().clear();
         }
-        let mut fresh = Connection::open(target, self.open.clone()).await?;
+        let mut fresh = Connection::open(target, self.open_count.clone()).await?;
         if !is_allowed() {
             return Err(SendError::NotAllowed);
         }
@@ -194,17 +195,17 @@
         }
     }
 
-    /// Sends a request on a connection of its own, and waits for the head of the answer.
+    /// Sends a request on a new connection and waits for the head of the answer.
     pub async fn send_on_new(
         &self,
         target: Target,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, SendError> {
-        let mut fresh = Connection::open(target, self.open.clone()).await?;
+        let mut fresh = Connection::open(target, self.open_count.clone()).await?;
         fresh.send(request).await.map_err(|(error, _)| error)
     }
 
-    /// A kept connection to this start of an endpoint. On others an earlier start may have
+    /// An idle connection to this start of an endpoint. On other ones, an earlier start may have
     /// answered.
     fn pop_idle(&self, endpoint: &str, target: Target) -> Option<Connection> {
         let mut idle = self.lock();
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Closes the kept connections of an endpoint.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: &str) {
         self.lock().remove(endpoint);
     }
--- a/src/gateway/destination.rs
+++ b/src/gateway/destination.rs
@@ -20,7 +20,7 @@
     Endpoint(Box<Registration>, Option<Reservation>),
     /// No eligible endpoint is known.
     NoEndpoint,
-    /// It cannot be served within its deadline.
+    /// It cannot be served in time.
     TooLate(placement::Refusal),
 }
 
@@ -40,7 +40,7 @@
             Destination::NoEndpoint if self.wait_for_start_checks(tried).await => {
                 self.choose_by_release(tried).await
             }
-            place => place,
+            destination => destination,
         }
     }
 
@@ -67,8 +67,8 @@
 
     /// Engines are chosen by the placer, other endpoints from this router's observations.
     async fn choose_among(&self, mut request: PlacementRequest, tried: &[String]) -> Destination {
-        let times = if self.is_engine { MAX_PLACEMENT_REQUESTS } else { 0 };
-        for _ in 0..times {
+        let attempts = if self.is_engine { MAX_PLACEMENT_REQUESTS } else { 0 };
+        for _ in 0..attempts {
             match self.gateway.placements.place(request.clone()).await {
                 PlacementOutcome::Reserved(reservation) => {
                     let id = &reservation.endpoint;
@@ -123,7 +123,7 @@
 
     fn placement_request(&self, eligibility: &Eligibility, tried: &[String]) -> PlacementRequest {
         let objective = Duration::from_millis(self.route.objective_ms);
-        let left = objective.saturating_sub(self.arrived.elapsed());
+        let remaining = objective.saturating_sub(self.arrived.elapsed());
         PlacementRequest {
             seq: 0,
             service: self.service.clone(),
@@ -131,7 +131,7 @@
             parts: self.head.parts.iter().map(|part| (part.id, part.tokens)).collect(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: self.head.output_tokens,
-            objective_ms: left.as_millis() as u32,
+            objective_ms: remaining.as_millis() as u32,
             pause_objective_ms: self.route.pause_objective_ms as u32,
             hall: self.gateway.settings.host.hall.clone(),
             eligibility: eligibility.clone(),
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -81,15 +81,15 @@
 impl ColdLimit {
     /// Sets the limit for cold engines to 0: the placer may use their whole capacity.
     pub fn reserved_for_placer(self, is_engine: bool) -> ColdLimit {
-        let per_second = self.per_second.map(|bears| if is_engine { 0.0 } else { bears });
+        let per_second = self.per_second.map(|rate| if is_engine { 0.0 } else { rate });
         ColdLimit { per_second, ..self }
     }
 
     /// Requests per second that this router may send to a cold endpoint; `None` for no limit.
     fn allowance(&self, id: &str) -> Option<usize> {
-        let part = self.per_second? / self.routers.max(1) as f64;
-        let drawn = rendezvous_rank(u64::from(self.router.0), id) as f64 / u64::MAX as f64;
-        Some(part as usize + usize::from(drawn < part.fract()))
+        let limit = self.per_second? / self.routers.max(1) as f64;
+        let rank = rendezvous_rank(u64::from(self.router.0), id) as f64 / u64::MAX as f64;
+        Some(limit as usize + usize::from(rank < limit.fract()))
     }
 }
 
@@ -101,10 +101,10 @@
 }
 
 impl EndpointTracker {
-    /// Chooses among `ready`, leaving out those in `tried`. Requests with the same affinity
-    /// go to the same two endpoints, to the less loaded of them. Others go to the least loaded
-    /// endpoint. Ties are broken by a random number: most of hundreds of
-    /// routers have nothing in flight and would otherwise all choose the same endpoint.
+    /// Chooses among `ready`, leaving out those in `tried`. Requests with the same affinity go to
+    /// the same two endpoints, to the one with fewer prompt tokens to read. Others go to the least
+    /// loaded endpoint, and ties are broken by a random number: most of hundreds of routers have
+    /// nothing in flight and would otherwise all choose the same endpoint.
     pub fn choose<'a>(
         &self,
         now: Millis,
@@ -204,10 +204,10 @@
             return false;
         }
         let Some(allowance) = cold.allowance(&endpoint.id) else { return false };
-        let lately = |at: &&Millis| **at + SENT_WINDOW_MS > now;
+        let is_recent = |at: &&Millis| **at + SENT_WINDOW_MS > now;
         // Requests sent to the previous start may have reached this one.
         let sent =
-            self.observed.get(&endpoint.id).map_or(0, |o| o.sent.iter().filter(lately).count());
+            self.observed.get(&endpoint.id).map_or(0, |o| o.sent.iter().filter(is_recent).count());
         sent >= allowance
     }
 
@@ -273,9 +273,9 @@
     }
 
     /// Records that it rejected a request and requested a rest of `time` milliseconds.
-    pub fn record_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, time: Millis) {
+    pub fn record_rest(&mut self, now: Millis, id: &str, started_at_ms: u64, rest_ms: Millis) {
         if let Some(observed) = self.observed_mut(id, started_at_ms) {
-            observed.rest.extend(now, time);
+            observed.rest.extend(now, rest_ms);
         }
     }
 
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -86,7 +86,7 @@
         copy_from,
         after_event,
     };
-    call.gateway.header_names.write_call(&mut headers, &forwarding);
+    call.gateway.header_names.write_request(&mut headers, &forwarding);
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.parts.method.clone();
     *request.uri_mut() = origin_form(&call.parts.uri);
@@ -117,7 +117,7 @@
     if is_retry {
         call.gateway.metrics.retries.with_label_values(&[&call.service]).inc();
     }
-    match open(call, endpoint, reservation, None).await {
+    match begin_attempt(call, endpoint, reservation, None).await {
         Ok(pending) => complete_attempt(call, endpoint, pending).await,
         Err(attempt) => attempt,
     }
@@ -125,7 +125,7 @@
 
 /// Sends a request and waits for the head of an answer; fails unless the answer is that of
 /// this endpoint to this request.
-pub(super) async fn open(
+pub(super) async fn begin_attempt(
     call: &Arc<Call>,
     endpoint: &Registration,
     reservation: Option<Reservation>,
@@ -269,8 +269,8 @@
     endpoint: &Registration,
     pending: PendingAnswer,
 ) -> Attempt {
-    let streams = call.route.kind == RouteKind::Streaming;
-    if pending.response.status().is_success() && streams {
+    let is_streaming = call.route.kind == RouteKind::Streaming;
+    if pending.response.status().is_success() && is_streaming {
         call.gateway.record_success(endpoint);
         return Attempt::Answered(stream::relay(call, pending));
     }
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -121,17 +121,17 @@
 
 async fn request_handover(gateway: &Gateway, neighbour: Neighbour) -> Result<PeerStream> {
     let open = Open::Caller { router: gateway.peers.me, version: gateway.routing_version() };
-    let asking = async {
+    let exchange = async {
         let (mut reader, writer) = gateway.peers.connect(neighbour.peer, &open).await?;
         let answer = reader.next::<HandoverAnswer>().await?;
         Ok::<_, crate::error::Error>((answer, reader, writer))
     };
     let timeout = Duration::from_millis(gateway.rules.overload.hand_over_answer_ms);
-    let Ok(asked) = tokio::time::timeout(timeout, asking).await else {
+    let Ok(result) = tokio::time::timeout(timeout, exchange).await else {
         gateway.metrics.handed_over.with_label_values(&["silent"]).inc();
         return RpcSnafu { message: "no answer in time" }.fail();
     };
-    let (answer, reader, writer) = asked?;
+    let (answer, reader, writer) = result?;
     gateway.metrics.handed_over.with_label_values(&[answer.name()]).inc();
     match answer {
         HandoverAnswer::Taken => Ok((reader.into_inner(), writer)),
--- a/src/gateway/header_names.rs
+++ b/src/gateway/header_names.rs
@@ -1,6 +1,6 @@
-//! What the gateway reads from and writes into the heads of requests and
-//! answers. Names and formats differ between platforms; what follows from them
-//! does not.
+//! Reading and writing the heads of requests and answers.
+//!
+//! Header names differ between platforms; the formats and their meaning do not.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,13 @@
 /// A part of a prompt that other prompts may share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content together with that of all parts before it.
+    /// Identifies its content together with that of all parts before it.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What a request's head says.
+/// Values from a request's head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
     /// The caller's id for this attempt.
@@ -32,71 +32,70 @@
     pub output_tokens: u32,
     /// The prompt's parts in order; the last is the request's own.
     pub parts: Vec<PromptPart>,
-    /// The last event that the caller has, when it takes a stream up again.
+    /// The id of the last event that the caller received, when it resumes a stream.
     pub last_event: Option<String>,
 }
 
-/// What the gateway tells an endpoint.
+/// Values that the gateway sends to an endpoint in a request's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Forwarding<'a> {
-    /// Milliseconds that remain.
+    /// Milliseconds left until the deadline.
     pub remaining_ms: u64,
-    /// The id of the endpoint that is meant.
+    /// The id of the intended endpoint.
     pub endpoint: &'a str,
     /// The customer, where one is known.
     pub customer: Option<&'a str>,
-    /// An engine from which it should copy what it does not keep of the prompt.
+    /// The engine from which the endpoint copies prompt parts that it has not cached.
     pub copy_from: Option<SocketAddr>,
-    /// The last event that the caller got, when the gateway takes a broken
-    /// stream up again.
+    /// The id of the last event that the caller received, when the gateway resumes a
+    /// truncated stream.
     pub after_event: Option<&'a str>,
 }
 
-/// What an answer's head says.
+/// Values from an answer's head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
     /// The id of the request that it answers.
     pub id: Option<String>,
     /// Whether the endpoint states that it did not run the request.
     pub not_executed: bool,
-    /// Whether it carries the proof that an endpoint made it.
+    /// Whether it has the header that proves that an endpoint made it, where one is required.
     pub sealed: bool,
 }
 
-/// The names under which heads say things. The formats behind them are the same
-/// everywhere.
+/// The names of the headers. Their formats are the same on all platforms.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
     /// The caller's id for this attempt.
     pub id: HeaderName,
-    /// The caller's key; endpoints do not see it.
+    /// The caller's key; removed before a request is forwarded.
     pub key: HeaderName,
-    /// Milliseconds that remain.
+    /// Milliseconds left until the deadline.
     pub deadline: HeaderName,
-    /// Tokens of the prompt, and the most to be made, as `PROMPT,OUTPUT`.
+    /// Tokens of the prompt and most tokens of output, as `PROMPT,OUTPUT`.
     pub tokens: HeaderName,
     /// The prompt's parts, as `ID:TOKENS,...`.
     pub parts: HeaderName,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller received.
     pub last_event: HeaderName,
-    /// The id of the endpoint that is meant.
+    /// The id of the intended endpoint.
     pub endpoint: HeaderName,
     /// The customer.
     pub customer: HeaderName,
-    /// An engine from which kept parts should be copied.
+    /// The address of the engine from which cached prompt parts are copied.
     pub copy_from: HeaderName,
-    /// That the endpoint did not run the request.
+    /// Present if the endpoint did not run the request.
     pub not_executed: HeaderName,
-    /// The proof that an endpoint made the answer, where endpoints give one.
+    /// The proof that an endpoint made the answer, where endpoints send one.
     pub seal: Option<HeaderName>,
-    /// That the endpoint leaves, as `1`.
+    /// Reports that the endpoint leaves, as `1`.
     pub leaving: HeaderName,
-    /// What callers may not say to endpoints.
+    /// Headers that are removed from callers' requests.
     pub reserved: Vec<HeaderName>,
 }
 
 impl HeaderNames {
-    /// The product's own names.
+    /// The names that this product defines itself.
     pub fn native() -> HeaderNames {
         HeaderNames {
             id: HeaderName::from_static("x-request-id"),
@@ -116,23 +115,23 @@
     }
 
     /// Reads a request's head.
-    pub fn read_call(&self, headers: &HeaderMap) -> RequestHead {
-        let tokens = text(headers, &self.tokens).map(token_counts);
+    pub fn read_request(&self, headers: &HeaderMap) -> RequestHead {
+        let tokens = header_text(headers, &self.tokens).map(token_counts);
         let (prompt_tokens, output_tokens) = tokens.unwrap_or_default();
         RequestHead {
-            id: text(headers, &self.id).map(str::to_string),
-            key: text(headers, &self.key).map(str::to_string),
-            deadline_ms: text(headers, &self.deadline).and_then(|t| t.trim().parse().ok()),
+            id: header_text(headers, &self.id).map(str::to_string),
+            key: header_text(headers, &self.key).map(str::to_string),
+            deadline_ms: header_text(headers, &self.deadline).and_then(|t| t.trim().parse().ok()),
             prompt_tokens,
             output_tokens,
-            parts: text(headers, &self.parts).map(prompt_parts).unwrap_or_default(),
-            last_event: text(headers, &self.last_event).map(str::to_string),
+            parts: header_text(headers, &self.parts).map(prompt_parts).unwrap_or_default(),
+            last_event: header_text(headers, &self.last_event).map(str::to_string),
         }
     }
 
-    /// Turns a caller's head into what the endpoint gets: the key goes, what the
-    /// gateway says itself replaces whatever the caller said under those names.
-    pub fn write_call(&self, headers: &mut HeaderMap, forwarding: &Forwarding<'_>) {
+    /// Converts a caller's head to the one for an endpoint: removes the key and the reserved
+    /// headers, and overwrites the headers that only the gateway may set.
+    pub fn write_request(&self, headers: &mut HeaderMap, forwarding: &Forwarding<'_>) {
         headers.remove(&self.key);
         for name in &self.reserved {
             headers.remove(name);
@@ -150,24 +149,24 @@
     /// Reads an answer's head.
     pub fn read_answer(&self, headers: &HeaderMap) -> AnswerHead {
         AnswerHead {
-            id: text(headers, &self.id).map(str::to_string),
+            id: header_text(headers, &self.id).map(str::to_string),
             not_executed: headers.contains_key(&self.not_executed),
             sealed: self.seal.as_ref().is_none_or(|seal| headers.contains_key(seal)),
         }
     }
 
-    /// Reads what an endpoint says of itself in an answer's head.
+    /// Reads an endpoint's notice from an answer's head.
     pub fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice {
         Notice::read(status, headers, &self.leaving)
     }
 }
 
-/// A header's text, if it is there and is text.
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// A header's value, if it is present and is text.
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Sets a header, or removes it where there is nothing to say.
+/// Sets a header, or removes it if there is no valid value.
 fn set_header(headers: &mut HeaderMap, name: &HeaderName, value: Option<&str>) {
     match value.and_then(|value| HeaderValue::from_str(value).ok()) {
         Some(value) => {
@@ -185,8 +184,8 @@
     (counts.next().unwrap_or(0), counts.next().unwrap_or(0))
 }
 
-/// Reads `ID:TOKENS,...` with ids in hexadecimal. A part counts as the same only
-/// after the same parts, so each id is mixed with those before it.
+/// Reads `ID:TOKENS,...` with ids in hexadecimal. A part equals another only if all parts
+/// before it are equal too, so each id is hashed together with those before it.
 pub(super) fn prompt_parts(text: &str) -> Vec<PromptPart> {
     let mut before = 0;
     let part = |part: &str| {
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -86,9 +86,9 @@
 
 /// Requests the report from the router that served a request, and applies it.
 pub(super) async fn fetch_leaving_report(gateway: Arc<Gateway>, neighbour: Neighbour) {
-    let asked =
+    let result =
         tokio::time::timeout(REPORT_TIMEOUT, request_leaving_report(&gateway, neighbour)).await;
-    let report = asked.unwrap_or_else(|_| RpcSnafu { message: "no report in time" }.fail());
+    let report = result.unwrap_or_else(|_| RpcSnafu { message: "no report in time" }.fail());
     match report {
         Ok(report) => apply_leaving_report(&gateway, &report),
         Err(error) => {
@@ -105,7 +105,7 @@
     for (start, address) in &report.unattributed {
         let (id, started_at_ms) = (start.id.as_str(), start.started_at_ms);
         let start = StartAddress { id, started_at_ms, address: *address };
-        gateway.with_endpoints(|seen| seen.unattributed().record(now, start, &leaves));
+        gateway.with_endpoints(|endpoints| endpoints.unattributed().record(now, start, &leaves));
         gateway.check_if_uncertain(id);
     }
 }
@@ -119,8 +119,8 @@
 /// Sends the leaving endpoints to another router.
 pub(super) async fn send_leaving_report(gateway: Arc<Gateway>, mut writer: OwnedWriteHalf) {
     let starts = gateway.registry.read(|registry| registry.leaving(MAX_LEAVING_STARTS));
-    let unattributed = gateway.with_endpoints(|seen| {
-        let leaving = seen.unattributed().leaving(MAX_LEAVING_STARTS);
+    let unattributed = gateway.with_endpoints(|endpoints| {
+        let leaving = endpoints.unattributed().leaving(MAX_LEAVING_STARTS);
         leaving.map(|start| (EndpointStart::from(start), start.address)).collect()
     });
     if let Err(error) = write_frame(&mut writer, &LeavingReport { starts, unattributed }).await {
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -14,7 +14,7 @@
     /// crashed, or the connection failed.
     pub(super) fn record_lost_answer(&self, assignment: &Assignment, reason: &str) {
         self.gateway.metrics.lost.with_label_values(&[&self.service]).inc();
-        let since_sent = assignment.observation.sent_ago();
+        let since_sent = assignment.observation.since_sent();
         log::info!(
             "gateway: request {} ({}) lost at {}, started at {}, {} ms after it was sent: {reason}; \
              path {:.MAX_LOGGED_PATH_CHARS$}, fingerprint {}",
@@ -35,8 +35,12 @@
 
     /// Records that the endpoint began its own answer to this request, so it is alive.
     pub(super) fn record_answer_began(&self, assignment: &Assignment) {
-        let sent_ago = assignment.observation.sent_ago();
-        self.gateway.guard.record_answer(&assignment.endpoint, assignment.started_at_ms, sent_ago);
+        let since_sent = assignment.observation.since_sent();
+        self.gateway.guard.record_answer(
+            &assignment.endpoint,
+            assignment.started_at_ms,
+            since_sent,
+        );
     }
 
     /// Records more data of an answer, so the endpoint is alive.
--- a/src/gateway/nearby.rs
+++ b/src/gateway/nearby.rs
@@ -1,5 +1,5 @@
-//! Regions, as a router minds them: which of its endpoints are near, and where a
-//! request may be served by now.
+//! Regions: which endpoints are near this router, and where a request may be served at
+//! the moment.
 
 use super::endpoints::{ColdLimit, EndpointTracker, Preference};
 use super::refusal::Refusal;
@@ -10,7 +10,7 @@
 use crate::registry::Registration;
 
 impl EndpointTracker {
-    /// Chooses as [`EndpointTracker::choose`] does, first among those that are near and calm:
+    /// Chooses as [`EndpointTracker::choose`] does, first among near and healthy endpoints:
     /// others are some milliseconds away, behind a link that all traffic shares.
     pub fn choose_near<'a>(
         &self,
@@ -36,8 +36,8 @@
 }
 
 impl Call {
-    /// Where it may be served. What was allowed when it came bounds it to its end; a
-    /// configuration that came since bounds what is sent from then on too.
+    /// The regions in which it may be served. The configuration in force at its arrival
+    /// applies to its end, and newer ones restrict it further from then on.
     pub(super) fn current_regions(&self) -> AllowedRegions {
         let newest = self.gateway.documents.current();
         let newest = newest.filter(|newest| newest.table.version != self.routing_version);
@@ -59,8 +59,8 @@
     }
 }
 
-/// Why none of the endpoints in these regions was found for a request: the regions that
-/// it is allowed to be served in are the reason only where none of them is in one.
+/// Why no endpoint was found for a request, given the regions of the endpoints that take
+/// work: the allowed regions are the reason only if none of the endpoints is in one.
 pub(super) fn no_endpoint_reason<'a>(
     allowed: &AllowedRegions,
     mut ready: impl Iterator<Item = &'a str>,
--- a/src/gateway/neighbours.rs
+++ b/src/gateway/neighbours.rs
@@ -1,7 +1,8 @@
-//! Which router of the data hall to ask to take a caller's connection, without I/O.
+//! Choosing the router of the data hall that is asked to accept a caller's connection, without
+//! I/O.
 //!
-//! With hundreds of routers most have time to spare, and each knows its own load best:
-//! one is asked at random, and says no if it has none.
+//! With hundreds of routers most have spare capacity, and each knows its own load best: one is
+//! asked at random, and refuses if it has none.
 
 use std::collections::HashMap;
 
@@ -9,14 +10,14 @@
 use crate::feed::Neighbour;
 use crate::wire::HostId;
 
-/// Milliseconds for which a router that said no, or nothing, is not asked again: its
+/// Milliseconds for which a router that refused, or did not answer, is not asked again: its
 /// load is a mean over some 200 ms.
 pub(super) const REFUSAL_BACKOFF_MS: Millis = 500;
-/// Milliseconds after which the list of routers is asked for again. A host that is
-/// gone says nothing, and is left out by that.
+/// Milliseconds after which the list of routers is requested again. Hosts that are gone are
+/// missing in the new list.
 pub(super) const REFRESH_INTERVAL_MS: Millis = 2_000;
 
-/// What is known of the other routers of the data hall.
+/// Which other routers of the data hall refused lately.
 #[derive(Clone, Debug, Default)]
 pub struct Neighbours {
     refused_until: HashMap<HostId, Millis>,
@@ -24,21 +25,22 @@
 }
 
 impl Neighbours {
-    /// One of `known` that has not said no lately, by a random number.
+    /// One of `known` that has not refused lately, chosen by a random number.
     pub fn choose(&self, now: Millis, known: &[Neighbour], random: u64) -> Option<Neighbour> {
-        let may_take = |n: &&Neighbour| self.refused_until.get(&n.host).is_none_or(|t| *t <= now);
-        let able = known.iter().filter(may_take).count();
-        let at = random.checked_rem(able as u64)?;
-        known.iter().filter(may_take).nth(at as usize).copied()
+        let is_candidate =
+            |n: &&Neighbour| self.refused_until.get(&n.host).is_none_or(|t| *t <= now);
+        let candidates = known.iter().filter(is_candidate).count();
+        let at = random.checked_rem(candidates as u64)?;
+        known.iter().filter(is_candidate).nth(at as usize).copied()
     }
 
-    /// A router said no, or nothing.
+    /// Records that a router refused or did not answer.
     pub fn record_refusal(&mut self, now: Millis, host: HostId) {
         self.refused_until.retain(|_, until| *until > now);
         self.refused_until.insert(host, now + REFUSAL_BACKOFF_MS);
     }
 
-    /// Whether the list of routers is to be asked for; it then counts as asked for.
+    /// Whether the list of routers is due to be requested; if so, records it as requested now.
     pub fn start_refresh_if_due(&mut self, now: Millis) -> bool {
         let is_due =
             self.refreshed_at.is_none_or(|refreshed_at| now >= refreshed_at + REFRESH_INTERVAL_MS);
--- a/src/gateway/observation.rs
+++ b/src/gateway/observation.rs
@@ -1,4 +1,4 @@
-//! What a request at an endpoint says of the endpoint's release.
+//! What a request at an endpoint shows about the endpoint's release.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use crate::registry::Registration;
 use crate::rollout::{Release, TallyKey, release_of};
 
-/// A request at an endpoint; it counts as open at the endpoint's release until dropped.
+/// A request at an endpoint; counted as open at the endpoint's release until dropped.
 pub(super) struct ReleaseObservation {
     gateway: Arc<Gateway>,
     service: String,
     /// The endpoint's release.
     pub version: String,
-    /// Where a release is rolled out: what the request counts for.
+    /// The tally that the request counts in, while a release is rolled out.
     sample: Option<TallyKey>,
     is_cold: bool,
     sent_at: Instant,
@@ -26,7 +26,7 @@
 }
 
 impl ReleaseObservation {
-    /// A request that is about to be sent.
+    /// Records a request that is about to be sent.
     pub fn new(call: &Call, endpoint: &Registration) -> ReleaseObservation {
         let gateway = call.gateway.clone();
         let table = gateway.rollouts.table();
@@ -57,12 +57,12 @@
         observation
     }
 
-    /// How long ago it was sent.
-    pub fn sent_ago(&self) -> Duration {
+    /// The time since it was sent.
+    pub fn since_sent(&self) -> Duration {
         self.sent_at.elapsed()
     }
 
-    /// What came of the attempt, up to its whole answer or to the head of a stream.
+    /// Records the result of an attempt, up to its complete answer or the head of a stream.
     pub fn record_attempt(&mut self, attempt: &Attempt) {
         match attempt {
             Attempt::Answered(_) => self.record_answered(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Its answer began well.
+    /// Records that the answer began without an error.
     pub fn record_answered(&mut self) {
         let Some(sample) = &self.sample else { return };
         if std::mem::replace(&mut self.has_answered, true) {
@@ -85,8 +85,8 @@
         });
     }
 
-    /// Its answer is a failure, broke off or never came; or nobody listens at the
-    /// endpoint, as where a release ends by itself.
+    /// Records that the answer is an error, was truncated or never arrived, or that no process
+    /// listens at the endpoint, as when a release exits by itself.
     pub fn record_failed(&mut self) {
         if std::mem::replace(&mut self.has_failed, true) {
             return;
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -73,13 +73,13 @@
 pub(super) async fn serve(gateway: Arc<Gateway>, request: Request<Incoming>) -> Response<Body> {
     let stopping = gateway.stop.is_cancelled();
     let (parts, body) = request.into_parts();
-    let head = gateway.header_names.read_call(&parts.headers);
+    let head = gateway.header_names.read_request(&parts.headers);
     let id = head.id.clone();
     let mut response = match admit(&gateway, parts, head, body).await {
         Ok(call) => run(Arc::new(call)).await,
         Err(refusal) => {
             let refusal = replace_if_unconfirmed(&gateway, refusal);
-            note_refusal(&gateway, id.as_deref(), refusal);
+            record_refusal(&gateway, id.as_deref(), refusal);
             refusal.into_response()
         }
     };
@@ -102,7 +102,7 @@
 }
 
 /// Counts and logs a request that is refused before its service is resolved.
-fn note_refusal(gateway: &Gateway, id: Option<&str>, refusal: Refusal) {
+fn record_refusal(gateway: &Gateway, id: Option<&str>, refusal: Refusal) {
     gateway.metrics.outcomes.with_label_values(&["", refusal.name()]).inc();
     log::info!(
         "gateway: request ({}) refused: {}, routing version {}, {} control hosts connected, \
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -27,7 +27,7 @@
 /// This router's state of the releases of its services.
 #[derive(Debug, Default)]
 pub(super) struct Releases {
-    splits: TrafficSplitter,
+    splitter: TrafficSplitter,
     pub tally: RouterTally,
     logged_splits: BTreeMap<String, LoggedSplit>,
 }
@@ -37,7 +37,7 @@
 struct LoggedSplit {
     number: u64,
     permille: u32,
-    cause: SplitReason,
+    reason: SplitReason,
     logged_at: Millis,
 }
 
@@ -48,20 +48,21 @@
         now: Millis,
         rollout: &Rollout,
         grant: Option<&Grant>,
-        cause: SplitReason,
+        reason: SplitReason,
     ) {
         let permille = grant.map_or(0, |grant| grant.permille);
         let (number, service) = (rollout.number, &rollout.order.service);
-        let split = LoggedSplit { number, permille, cause, logged_at: now };
+        let split = LoggedSplit { number, permille, reason, logged_at: now };
         if let Some(known) = self.logged_splits.get(service) {
-            let is_same = (known.number, known.permille, known.cause) == (number, permille, cause);
+            let is_same =
+                (known.number, known.permille, known.reason) == (number, permille, reason);
             let is_new = known.number != number;
             if is_same || !is_new && now < known.logged_at + LOG_INTERVAL_MS {
                 return;
             }
         }
         let version = &rollout.order.version;
-        log::info!("rollout: {version} of {service} gets {permille} of 1000 requests: {cause:?}");
+        log::info!("rollout: {version} of {service} gets {permille} of 1000 requests: {reason:?}");
         self.logged_splits.insert(service.clone(), split);
     }
 }
@@ -71,9 +72,9 @@
     pub(super) fn version_rule(&self) -> Option<VersionRule> {
         let offset = rand::rng().random();
         self.with_router_state(|releases, choice, state| {
-            let (rule, cause) = releases.splits.rule(choice, &self.route.name, offset, state);
+            let (rule, reason) = releases.splitter.rule(choice, &self.route.name, offset, state);
             if let Some(rollout) = state.rollout {
-                releases.log_split(self.gateway.now(), rollout, state.grant, cause);
+                releases.log_split(self.gateway.now(), rollout, state.grant, reason);
             }
             rule
         })
@@ -97,7 +98,7 @@
     pub(super) fn may_resume(&self) -> bool {
         let offset = rand::rng().random();
         self.with_router_state(|releases, choice, state| {
-            releases.splits.try_resume(choice, &self.route.name, offset, state)
+            releases.splitter.try_resume(choice, &self.route.name, offset, state)
         })
     }
 
@@ -115,13 +116,17 @@
     /// Whether it was assigned to the new release, got no place there, and may get one at
     /// another release. Once all requests go to the new release, those that it cannot serve in
     /// time are refused as usual, since the other releases have to drain.
-    pub(super) fn falls_back_from_new(&self, rule: &VersionRule, place: &Destination) -> bool {
+    pub(super) fn falls_back_from_new(
+        &self,
+        rule: &VersionRule,
+        destination: &Destination,
+    ) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
         let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
         let Some(number) = number else { return false };
-        let is_refused = matches!(place, Destination::TooLate(_));
-        let may_leave = !is_refused || self.is_partial_traffic(rule);
-        may_leave && self.release_choice().record_no_place_at_new(number)
+        let is_refused = matches!(destination, Destination::TooLate(_));
+        let may_fall_back = !is_refused || self.is_partial_traffic(rule);
+        may_fall_back && self.release_choice().record_no_place_at_new(number)
     }
 
     /// Whether it is assigned to a new release that gets only a part of the requests.
@@ -179,8 +184,8 @@
 /// Reports this router's observations to the leader while a release is rolled out.
 pub(super) async fn report(gateway: Arc<Gateway>) {
     let mut table = gateway.rollouts.watch();
-    let is_under_way = |table: &Arc<Rollouts>| table.all().any(|r| !r.stage.is_final());
-    while table.wait_for(is_under_way).await.is_ok() {
+    let is_in_progress = |table: &Arc<Rollouts>| table.all().any(|r| !r.stage.is_final());
+    while table.wait_for(is_in_progress).await.is_ok() {
         let known = gateway.rollouts.table();
         let report = gateway.with_releases(|releases| releases.tally.take_report(&known));
         if !gateway.feeds.report_rollouts(report.clone()) {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! The gateway's process: callers' connections, readiness, planned stop.
+//! The gateway's process: connections of callers, readiness, planned stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 use crate::settings::{GatewaySettings, RouterSettings};
 use crate::wire::Role;
 
-/// How often a planned stop looks whether all requests have ended.
+/// How often a planned stop checks whether all requests have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A planned stop ends so long before it would be ended by force.
+/// How long before the limit, at which the process is killed, a planned stop ends.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// How long to wait after a connection could not be accepted.
+/// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Runs a gateway until `stop`, then lets requests in flight finish.
+/// Runs a gateway until `stop` is cancelled, then lets requests in flight finish.
 pub async fn run(
     settings: RouterSettings,
     rules: GatewaySettings,
@@ -48,7 +48,7 @@
     let listener = TcpListener::bind(listen).await;
     let listener =
         listener.context(NetSnafu { what: format!("listen for callers on {listen}") })?;
-    log::info!("gateway: host {} takes requests on {listen}", gateway.peers.me);
+    log::info!("gateway: host {} accepts requests on {listen}", gateway.peers.me);
     let closing = CancellationToken::new();
     tokio::spawn(accept(gateway.clone(), listener, closing.clone()));
     stop.cancelled().await;
@@ -56,21 +56,21 @@
     Ok(())
 }
 
-/// Requests are taken for a while yet, since the platform still sends some; then
-/// connections close as they fall idle, and the rest may take until the limit.
+/// Accepts requests for a while longer, since the platform still sends some; then closes
+/// connections as they fall idle, and waits for the remaining requests until the limit.
 async fn stop_gracefully(gateway: &Gateway, closing: &CancellationToken) {
     log::info!("gateway: planned stop begins, {} requests in flight", gateway.in_flight());
     gateway.peers.set_draining();
     let limit = Duration::from_secs_f64(gateway.rules.stop_within_s).saturating_sub(STOP_MARGIN);
-    let takes = Duration::from_millis(gateway.rules.stop_takes_ms).min(limit / 2);
-    tokio::time::sleep(takes).await;
+    let accept_time = Duration::from_millis(gateway.rules.stop_takes_ms).min(limit / 2);
+    tokio::time::sleep(accept_time).await;
     gateway.stop_accepting();
     closing.cancel();
-    let deadline = tokio::time::Instant::now() + limit.saturating_sub(takes);
+    let deadline = tokio::time::Instant::now() + limit.saturating_sub(accept_time);
     while gateway.in_flight() > 0 && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
-    // What has just been answered still has to leave.
+    // The last answers still have to be written.
     tokio::time::sleep(STOP_POLL_INTERVAL).await;
     log::info!("gateway: stopped, {} requests in flight", gateway.in_flight());
 }
@@ -89,9 +89,9 @@
 }
 
 async fn ready(State(gateway): State<Arc<Gateway>>) -> StatusCode {
-    let knows_routing = gateway.documents.current().is_some();
-    let takes_more = gateway.with_overload(|overload| overload.is_ready());
-    let ready = !gateway.stop.is_cancelled() && knows_routing && takes_more;
+    let has_routing = gateway.documents.current().is_some();
+    let has_capacity = gateway.with_overload(|overload| overload.is_ready());
+    let ready = !gateway.stop.is_cancelled() && has_routing && has_capacity;
     match ready {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
@@ -101,7 +101,7 @@
 async fn accept(gateway: Arc<Gateway>, listener: TcpListener, closing: CancellationToken) {
     loop {
         match listener.accept().await {
-            // Closed unread: the caller may try any request again elsewhere.
+            // Closed before any request is read, so the caller may safely retry elsewhere.
             Ok((stream, _)) if !gateway.with_overload(Overload::try_add_connection) => drop(stream),
             Ok((stream, _)) => {
                 tokio::spawn(serve_caller(gateway.clone(), stream, closing.clone()));
@@ -115,7 +115,7 @@
 }
 
 async fn serve_caller(gateway: Arc<Gateway>, stream: TcpStream, closing: CancellationToken) {
-    // Without it events wait for the caller's delayed acknowledgements.
+    // Without it, events are delayed until the caller's delayed acknowledgements arrive.
     let _ = stream.set_nodelay(true);
     if let Some(stream) = hand_over(&gateway, stream, &closing).await {
         serve_requests(&gateway, stream, KeepAlive::UntilIdle, &closing).await;
--- a/src/gateway/start_checks.rs
+++ b/src/gateway/start_checks.rs
@@ -46,8 +46,8 @@
 }
 
 impl Gateway {
-    /// Starts a check of a registered endpoint whose state is uncertain, unless one is in
-    /// progress.
+    /// Starts a check of an endpoint that is registered as taking work and whose state is
+    /// uncertain, unless one is in progress.
     pub(super) fn check_if_uncertain(self: &Arc<Self>, id: &str) {
         if self.uncertain_endpoint(id).is_some()
             && self.with_start_checks(|ids| ids.insert(id.to_string()))
@@ -60,7 +60,8 @@
         let now = self.now();
         self.registry.read(|registry| {
             let endpoint = registry.get_ready(id)?;
-            let is_uncertain = self.with_endpoints(|seen| seen.is_uncertain(now, endpoint));
+            let is_uncertain =
+                self.with_endpoints(|endpoints| endpoints.is_uncertain(now, endpoint));
             is_uncertain.then(|| endpoint.clone())
         })
     }
@@ -69,11 +70,11 @@
     fn end_check_if_certain(&self, id: &str) -> bool {
         // Under the lock, so that an endpoint found uncertain later gets a new check.
         self.with_start_checks(|ids| {
-            let ends = self.uncertain_endpoint(id).is_none();
-            if ends {
+            let is_certain = self.uncertain_endpoint(id).is_none();
+            if is_certain {
                 ids.remove(id);
             }
-            ends
+            is_certain
         })
     }
 }
@@ -110,8 +111,8 @@
     let Some(address) = endpoint.address else { return NoAddressSnafu.fail() };
     let target = Target { address, started_at_ms: endpoint.started_at_ms };
     let request = health_check(gateway, endpoint, target)?;
-    let asking = gateway.connections.send_on_new(target, request);
-    let response = match tokio::time::timeout(ANSWER_TIMEOUT, asking).await {
+    let exchange = gateway.connections.send_on_new(target, request);
+    let response = match tokio::time::timeout(ANSWER_TIMEOUT, exchange).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return NoAnswerSnafu { error }.fail(),
         Err(_) => return TooSlowSnafu.fail(),
@@ -142,7 +143,7 @@
 impl Call {
     /// Waits a moment for checks of endpoints that could run it; returns whether it waited.
     pub(super) async fn wait_for_start_checks(&self, tried: &[String]) -> bool {
-        let limit = tokio::time::Instant::now() + MAX_REQUEST_WAIT.min(self.remaining());
+        let deadline = tokio::time::Instant::now() + MAX_REQUEST_WAIT.min(self.remaining());
         let mut waited = false;
         loop {
             let ended = self.gateway.start_checks_ended.notified();
@@ -153,7 +154,7 @@
                 return waited;
             }
             waited = true;
-            if tokio::time::timeout_at(limit, ended).await.is_err() {
+            if tokio::time::timeout_at(deadline, ended).await.is_err() {
                 return waited;
             }
         }
@@ -164,8 +165,8 @@
         let now = self.gateway.now();
         self.gateway.registry.read(|registry| {
             let mut ready = registry.ready(&self.service).filter(|e| !tried.contains(&e.id));
-            self.gateway.with_endpoints(|seen| {
-                ready.any(|e| self.is_eligible(&eligibility, e) && seen.is_uncertain(now, e))
+            self.gateway.with_endpoints(|endpoints| {
+                ready.any(|e| self.is_eligible(&eligibility, e) && endpoints.is_uncertain(now, e))
             })
         })
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -233,26 +233,26 @@
     /// Counts a request that is served here, until the guard is dropped.
     pub(super) fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        InFlightGuard { gateway: self.clone(), hands_over: false }
+        InFlightGuard { gateway: self.clone(), is_handover: false }
     }
 
     /// Counts a request that is handed over to another router, until the guard is dropped.
     pub(super) fn track_handover(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.handing_over.fetch_add(1, Ordering::Relaxed);
-        InFlightGuard { gateway: self.clone(), hands_over: true }
+        InFlightGuard { gateway: self.clone(), is_handover: true }
     }
 }
 
 fn watch_lag(overload: Arc<Mutex<Overload>>) -> LoopLag {
     LoopLag::start(move |lag| {
         let mut overload = overload.lock().unwrap_or_else(PoisonError::into_inner);
-        let handed_over = overload.should_hand_over(0);
+        let was_handing_over = overload.should_hand_over(0);
         let readiness_changed = overload.set_lag(lag);
-        if overload.should_hand_over(0) != handed_over {
+        if overload.should_hand_over(0) != was_handing_over {
             log::info!(
                 "gateway: new connections are {}: event loop {} ms late",
-                if handed_over { "served here" } else { "handed over" },
+                if was_handing_over { "served here" } else { "handed over" },
                 lag.as_millis(),
             );
         }
@@ -270,13 +270,13 @@
 /// A request in flight; a planned stop waits until it is dropped.
 pub(super) struct InFlightGuard {
     gateway: Arc<Gateway>,
-    hands_over: bool,
+    is_handover: bool,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.gateway.in_flight.fetch_sub(1, Ordering::Relaxed);
-        if self.hands_over {
+        if self.is_handover {
             self.gateway.handing_over.fetch_sub(1, Ordering::Relaxed);
         }
     }
@@ -287,7 +287,7 @@
     gateway: Arc<Gateway>,
     /// The endpoint's id.
     pub endpoint: String,
-    /// The start of the endpoint that it was sent to, in milliseconds.
+    /// The start of the endpoint that it was sent to, in milliseconds since the epoch.
     pub started_at_ms: u64,
     prompt_tokens: u32,
     has_begun: bool,
@@ -340,9 +340,9 @@
     }
 
     /// Records how the request ended.
-    pub fn set_completion(&mut self, ending: Completion) {
+    pub fn set_completion(&mut self, completion: Completion) {
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_completion(ending);
+            reservation.set_completion(completion);
         }
     }
 }
@@ -360,11 +360,12 @@
 /// more or have restarted, and checks endpoints whose state is uncertain.
 pub(super) async fn follow_registry(gateway: Arc<Gateway>) {
     let mut watch = gateway.registry.watch();
-    let mut seen = 0;
+    let mut last_change = 0;
     let mut known_starts = KnownStarts::default();
     while watch.changed().await.is_ok() {
-        let changes = gateway.registry.read(|r| r.changes_after(seen, usize::MAX, Scope::All));
-        seen = changes.upto;
+        let changes =
+            gateway.registry.read(|r| r.changes_after(last_change, usize::MAX, Scope::All));
+        last_change = changes.upto;
         let start_events = known_starts.apply_changes(&changes.endpoints);
         for start in &start_events {
             gateway.connections.close_idle(start.id());
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,5 +1,5 @@
-//! Passing a stream of events on as they come, and taking it up at another
-//! endpoint when it breaks off, where its route allows that.
+//! Relaying streams of events as they arrive. A truncated stream is resumed on another
+//! endpoint where its route allows that.
 
 use std::sync::Arc;
 
@@ -18,33 +18,33 @@
 use super::state::Assignment;
 use crate::placement::Completion;
 
-/// A stream under way. Dropping it closes the endpoint's connection, which ends
-/// the run there.
+/// A stream being relayed. Dropping it closes the endpoint's connection, which ends the run
+/// there.
 struct Relay {
     call: Arc<Call>,
     source: Option<Source>,
     tried: Vec<String>,
-    /// Set where the stream may be taken up elsewhere, event by event.
+    /// Set if the stream may be resumed elsewhere: it is then relayed event by event.
     splitter: Option<EventSplitter>,
 }
 
-/// Where a stream comes from.
+/// The endpoint that a stream is read from.
 struct Source {
     incoming: Incoming,
     connection: Connection,
     assignment: Assignment,
 }
 
-/// Why a stream is broken off; the caller sees its connection close.
+/// Why a stream is truncated; the caller's connection is closed.
 #[derive(Debug, snafu::Snafu)]
 enum StreamError {
-    #[snafu(display("the endpoint broke off"))]
+    #[snafu(display("the endpoint closed the connection early"))]
     Truncated,
-    #[snafu(display("the time is up"))]
+    #[snafu(display("the deadline has passed"))]
     TimedOut,
 }
 
-/// The answer for the caller: the endpoint's head, and its events as they come.
+/// The answer for the caller: the endpoint's head, and its events as they arrive.
 pub(super) fn relay(call: &Arc<Call>, pending: PendingAnswer) -> Response<Body> {
     let PendingAnswer { response, connection, mut assignment } = pending;
     assignment.set_completion(Completion::Abandoned);
@@ -52,12 +52,12 @@
     strip_connection_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     call.bind(&assignment.observation.version);
-    let resumes = call.route.resumable && call.route.attempts > 1;
+    let is_resumable = call.route.resumable && call.route.attempts > 1;
     let relay = Relay {
         call: call.clone(),
         tried: vec![assignment.endpoint.clone()],
         source: Some(Source { incoming, connection, assignment }),
-        splitter: resumes.then(|| EventSplitter::after(call.head.last_event.clone())),
+        splitter: is_resumable.then(|| EventSplitter::after(call.head.last_event.clone())),
     };
     let events = futures_util::stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
@@ -71,19 +71,22 @@
 }
 
 impl Relay {
-    /// The next bytes; none at the end of a whole stream.
+    /// The next bytes; `None` at the end of a complete stream.
     async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             let Some(source) = &mut self.source else { return Ok(None) };
             let frame = tokio::time::timeout(self.call.remaining(), source.incoming.frame());
             let Ok(frame) = frame.await else {
                 source.assignment.observation.record_failed();
-                log::info!("gateway: request {} ran out of time", self.call.number);
+                log::info!(
+                    "gateway: request {} ran out of time during its stream",
+                    self.call.number
+                );
                 return Err(StreamError::TimedOut);
             };
             match frame {
                 Some(Ok(frame)) => {
-                    // Trailers concern this connection only.
+                    // Trailers are specific to this connection.
                     let Ok(bytes) = frame.into_data() else { continue };
                     source.assignment.record_first_event();
                     self.call.record_stream_data(&source.assignment);
@@ -104,7 +107,7 @@
         }
     }
 
-    /// The stream came to its end.
+    /// Ends a complete stream; returns the bytes after its last event.
     fn finish(&mut self) -> Option<Bytes> {
         if let Some(mut source) = self.source.take() {
             source.assignment.set_completion(Completion::Served);
@@ -115,8 +118,8 @@
         rest.filter(|rest| !rest.is_empty())
     }
 
-    /// Takes the stream up behind its last whole event at another endpoint of the same
-    /// release: another release may say something else.
+    /// Resumes the stream after its last complete event on another endpoint of the same
+    /// release, since the output of another release may differ.
     async fn resume(&mut self) -> Result<(), StreamError> {
         let Some(mut lost) = self.source.take() else { return Err(StreamError::Truncated) };
         let call = self.call.clone();
@@ -143,14 +146,19 @@
         };
         self.tried.push(endpoint.id.clone());
         let after = splitter.last_id().map(str::to_string);
-        log::info!("gateway: request {} goes on at {} after {after:?}", call.number, endpoint.id);
-        let pending = exchange::open(&call, &endpoint, reservation, after.as_deref()).await;
+        log::info!(
+            "gateway: request {} is resumed on {} after {after:?}",
+            call.number,
+            endpoint.id
+        );
+        let pending =
+            exchange::begin_attempt(&call, &endpoint, reservation, after.as_deref()).await;
         let Ok(PendingAnswer { response, connection, mut assignment }) = pending else {
             return Err(StreamError::Truncated);
         };
         if response.status() != StatusCode::OK {
             let (status, at) = (response.status(), &assignment.endpoint);
-            log::info!("gateway: request {} cannot go on at {at}: {status}", call.number);
+            log::info!("gateway: request {} cannot be resumed on {at}: {status}", call.number);
             assignment.observation.record_failed();
             return Err(StreamError::Truncated);
         }
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -364,7 +364,7 @@
         copy_from: None,
         after_event: None,
     };
-    header_names.write_call(&mut headers, &forwarding);
+    header_names.write_request(&mut headers, &forwarding);
     let left: Vec<_> = headers.iter().map(|(name, value)| (name.as_str(), value)).collect();
     assert_eq!(left.len(), 2, "{left:?}");
     assert_eq!(headers[&header_names.endpoint], "e1");
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -290,7 +290,7 @@
     let fleet = Fleet::start(108, &new, &old).await;
     let call = fleet.call();
     let endpoint = fleet.place(&call, &[]).await.unwrap();
-    let opened = exchange::open(&call, &endpoint, None, None).await;
+    let opened = exchange::begin_attempt(&call, &endpoint, None, None).await;
     let opened = opened.unwrap_or_else(|_| panic!("it answers"));
     assert_eq!(fleet.report().services[0].open_on_old, 1);
     drop(opened);
