--- a/src/gateway/neighbours.rs
+++ b/src/gateway/neighbours.rs
@@ -13,8 +13,8 @@
 /// Milliseconds for which a router that refused, or did not answer, is not asked again: its
 /// load is a mean over some 200 ms.
 pub(super) const REFUSAL_BACKOFF_MS: Millis = 500;
-/// Milliseconds after which the list of routers is requested again. Hosts that are gone are
-/// missing in the new list.
+/// Milliseconds after which the list of routers is requested again. A host that is
+/// gone is skipped until then, since it does not answer.
 pub(super) const REFRESH_INTERVAL_MS: Millis = 2_000;
 
 /// Which other routers of the data hall refused lately.
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -1,4 +1,4 @@
-//! Decisions of the gateway.
+//! Tests of the gateway's decisions, without I/O.
 
 mod rollouts;
 
@@ -31,13 +31,13 @@
     }
 }
 
-/// Any number will do where only one endpoint fits.
+/// Any random number, where only one endpoint can be chosen.
 const ANY: Preference = Preference::Random(0);
-/// Cold endpoints bear as many requests as others.
+/// No limit for cold endpoints.
 const ANY_COLD: ColdLimit = ColdLimit { per_second: None, routers: 1, router: HostId(1) };
 
 #[test]
-fn routers_with_nothing_under_way_do_not_agree_on_one_endpoint() {
+fn idle_routers_spread_over_all_endpoints() {
     let ready = ["a", "b", "c", "d", "e"].map(endpoint);
     let mut chosen = std::collections::BTreeMap::new();
     for router in 0..1_000 {
@@ -78,20 +78,20 @@
 }
 
 #[test]
-fn regions_are_the_reason_only_where_no_endpoint_is_in_an_allowed_one() {
+fn no_allowed_region_is_reported_only_if_no_endpoint_is_in_one() {
     let bound = AllowedRegions::Only(["r".to_string()].into());
-    let why = |allowed: &AllowedRegions, ready: &[&str]| {
+    let reason = |allowed: &AllowedRegions, ready: &[&str]| {
         no_endpoint_reason(allowed, ready.iter().copied())
     };
     let (no_region, no_endpoint) = (Refusal::NoAllowedRegion, Refusal::NoEndpoint);
-    assert_eq!(why(&bound, &["s", ""]), no_region);
-    assert_eq!(why(&bound, &["s", "r"]), no_endpoint, "it was tried, or is of another release");
-    assert_eq!(why(&bound, &[]), no_endpoint);
-    assert_eq!(why(&AllowedRegions::Anywhere, &["s"]), no_endpoint);
+    assert_eq!(reason(&bound, &["s", ""]), no_region);
+    assert_eq!(reason(&bound, &["s", "r"]), no_endpoint, "it was tried, or is of another release");
+    assert_eq!(reason(&bound, &[]), no_endpoint);
+    assert_eq!(reason(&AllowedRegions::Anywhere, &["s"]), no_endpoint);
 }
 
 #[test]
-fn an_endpoint_that_cannot_be_reached_is_avoided_and_tried_again() {
+fn an_unreachable_endpoint_is_avoided_and_then_tried_again() {
     let ready = [endpoint("a"), endpoint("b")];
     let mut endpoints = EndpointTracker::default();
     endpoints.record_sent(0, "b", 0, 0);
@@ -99,12 +99,12 @@
     assert!(avoided > 0);
     assert_eq!(endpoints.choose(0, ready.iter(), &[], ANY, ANY_COLD).unwrap().id, "b");
     assert_eq!(endpoints.choose(avoided, ready.iter(), &[], ANY, ANY_COLD).unwrap().id, "a");
-    // The only one left is used even so.
+    // An avoided endpoint is used if it is the only one left.
     assert_eq!(endpoints.choose(0, ready[..1].iter(), &[], ANY, ANY_COLD).unwrap().id, "a");
 }
 
 #[test]
-fn an_endpoint_whose_address_another_holds_is_never_chosen_again() {
+fn a_replaced_endpoint_is_never_chosen_again() {
     let ready = [endpoint("a")];
     let mut endpoints = EndpointTracker::default();
     endpoints.record_failure(0, "a", 0, Failure::Replaced);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn one_error_may_be_chance_and_two_in_a_row_are_not() {
+fn an_endpoint_is_avoided_after_two_consecutive_errors() {
     let mut endpoints = EndpointTracker::default();
     assert_eq!(endpoints.record_failure(0, "a", 0, Failure::Failed), 0);
     endpoints.record_success(0, "a", 0);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn events_are_passed_on_whole_and_the_last_id_is_known() {
+fn events_are_forwarded_complete_and_the_last_id_is_tracked() {
     let mut splitter = EventSplitter::default();
     assert!(splitter.push(b"id: 1\ndata: x\n").is_empty());
     assert_eq!(&splitter.push(b"\nid: 2\nda")[..], b"id: 1\ndata: x\n\n");
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_part_of_a_prompt_counts_as_the_same_only_behind_the_same_parts() {
+fn prompt_parts_are_equal_only_after_equal_parts() {
     let one = prompt_parts("a:10,b:20");
     let two = prompt_parts("c:10,b:20");
     assert_eq!(one, prompt_parts("a:10, b:20"));
@@ -147,33 +147,33 @@
 proptest! {
     #![proptest_config(crate::testing::property(64))]
 
-    /// However events are cut into pieces, the same bytes come out, in order.
+    /// However the stream is split into pieces, the same bytes come out, in order.
     #[test]
-    fn pieces_do_not_matter(
+    fn splitting_preserves_the_bytes_of_any_pieces(
         events in proptest::collection::vec("[a-z]{0,12}", 0..12),
-        cuts in proptest::collection::vec(1usize..9, 1..40),
+        lengths in proptest::collection::vec(1usize..9, 1..40),
     ) {
         let numbered = events.iter().enumerate();
         let text: String = numbered.map(|(n, e)| format!("id: {n}\ndata: {e}\n\n")).collect();
         let mut splitter = EventSplitter::default();
         let mut out = Vec::new();
         let mut rest = text.as_bytes();
-        let mut cuts = cuts.into_iter().cycle();
+        let mut lengths = lengths.into_iter().cycle();
         while !rest.is_empty() {
-            let at = cuts.next().unwrap().min(rest.len());
+            let at = lengths.next().unwrap().min(rest.len());
             let (piece, after) = rest.split_at(at);
-            let whole = splitter.push(piece);
-            prop_assert!(whole.is_empty() || whole.ends_with(b"\n\n"));
-            out.extend_from_slice(&whole);
+            let complete = splitter.push(piece);
+            prop_assert!(complete.is_empty() || complete.ends_with(b"\n\n"));
+            out.extend_from_slice(&complete);
             rest = after;
         }
         out.extend_from_slice(&splitter.finish());
         prop_assert_eq!(out, text.as_bytes());
     }
 
-    /// The repeats of all routers together stay under the bound in any window.
+    /// The retries of all routers together stay within the limit in any window.
     #[test]
-    fn repeats_stay_within_the_budget(
+    fn retries_stay_within_the_budget(
         routers in 1usize..5,
         events in proptest::collection::vec((0u64..400, any::<u8>(), any::<bool>()), 0..400),
     ) {
@@ -181,32 +181,32 @@
         let mut budgets: Vec<_> =
             (0..routers).map(|_| RetryBudgets::new(rules, routers)).collect();
         let mut now = 0;
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
-        for (wait, router, repeat) in events {
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
+        for (wait, router, is_retry) in events {
             now += wait;
             let budget = &mut budgets[router as usize % routers];
-            match repeat {
-                true => if budget.try_spend(now, "app") { repeats.push(now) },
+            match is_retry {
+                true => if budget.try_spend(now, "app") { retries.push(now) },
                 false => {
                     budget.record_request(now, "app");
                     requests.push(now);
                 }
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let from = end.saturating_sub(9_999);
             let inside = |times: &[u64], from: u64| {
                 times.iter().filter(|at| (from..=*end).contains(*at)).count() as f64
             };
-            // The requests counted are those of the window or of the one before.
-            let asked = inside(&requests, from.saturating_sub(10_000));
-            prop_assert!(inside(&repeats, from) <= rules.ratio * asked + rules.slack);
+            // Counts the requests of the window and of the one before it.
+            let requested = inside(&requests, from.saturating_sub(10_000));
+            prop_assert!(inside(&retries, from) <= rules.ratio * requested + rules.slack);
         }
     }
 }
 
 #[test]
-fn a_router_behind_its_work_sheds_load_in_two_steps() {
+fn an_overloaded_router_becomes_unready_and_then_refuses() {
     let rules = OverloadRules::default();
     let ms = std::time::Duration::from_millis;
     let mut overload = Overload::new(rules);
@@ -216,7 +216,7 @@
     assert!(!overload.is_ready() && !overload.refuses());
     overload.set_lag(ms(rules.refuse_lag_ms));
     assert!(overload.refuses());
-    // Below the limit that made it unready it waits until it is calm again.
+    // A lag below the limit that made it unready does not make it ready again yet.
     assert!(!overload.set_lag(ms(rules.unready_lag_ms - 1)));
     assert!(!overload.is_ready() && !overload.refuses());
     assert!(overload.set_lag(ms(rules.ready_lag_ms - 1)));
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_router_hands_over_before_it_is_not_ready_and_takes_nothing_meanwhile() {
+fn a_router_hands_over_before_it_is_unready_and_accepts_no_handover_meanwhile() {
     let rules = OverloadRules::default();
     let ms = std::time::Duration::from_millis;
     let mut overload = Overload::new(rules);
@@ -232,16 +232,16 @@
     assert!(!overload.should_hand_over(0) && overload.accepts_handover(0));
     overload.set_lag(ms(rules.hand_over_lag_ms));
     assert!(overload.should_hand_over(0) && !overload.accepts_handover(0) && overload.is_ready());
-    // It goes on until it is well below.
+    // It hands over until the lag has fallen below half of the limit.
     overload.set_lag(ms(rules.hand_over_lag_ms - 1));
     assert!(overload.should_hand_over(0));
     overload.set_lag(ms(rules.hand_over_lag_ms / 2 - 1));
     assert!(!overload.should_hand_over(0) && overload.accepts_handover(0));
-    // What it serves counts at once.
-    let many = rules.hand_over_requests;
-    assert!(!overload.should_hand_over(many - 1) && overload.accepts_handover(many - 1));
-    assert!(overload.should_hand_over(many) && !overload.accepts_handover(many));
-    // One whose limit is 0 hands over all that comes, also before it was measured.
+    // Requests that it serves itself count at once.
+    let limit = rules.hand_over_requests;
+    assert!(!overload.should_hand_over(limit - 1) && overload.accepts_handover(limit - 1));
+    assert!(overload.should_hand_over(limit) && !overload.accepts_handover(limit));
+    // With a limit of 0 it hands over every connection, even before the first measurement.
     let all = OverloadRules { hand_over_lag_ms: 0, ..rules };
     assert!(Overload::new(all).should_hand_over(0));
 }
@@ -251,12 +251,12 @@
 }
 
 #[test]
-fn a_router_that_said_no_is_not_asked_again_for_a_while() {
+fn a_router_that_refused_is_not_asked_again_during_the_backoff() {
     let known = [neighbour(1), neighbour(2)];
     let mut neighbours = Neighbours::default();
     assert_eq!(neighbours.choose(0, &[], 7), None);
     let chosen: Vec<_> = (0..2).filter_map(|n| neighbours.choose(0, &known, n)).collect();
-    assert_eq!(chosen, known, "every one may be asked");
+    assert_eq!(chosen, known, "every router may be asked");
     neighbours.record_refusal(0, HostId(1));
     for random in 0..4 {
         assert_eq!(neighbours.choose(REFUSAL_BACKOFF_MS - 1, &known, random), Some(known[1]));
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn the_list_of_routers_is_asked_for_again_after_a_while() {
+fn the_list_of_routers_is_refreshed_after_the_interval() {
     let mut neighbours = Neighbours::default();
     assert!(neighbours.start_refresh_if_due(5));
     assert!(!neighbours.start_refresh_if_due(6));
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn callers_connections_leave_descriptors_for_endpoints() {
+fn connections_of_callers_leave_descriptors_for_endpoints() {
     let rules = OverloadRules { descriptors: 100, ..OverloadRules::default() };
     let mut overload = Overload::new(rules);
     assert_eq!((1..=100).filter(|_| overload.try_add_connection()).count(), 45);
@@ -288,18 +288,18 @@
 }
 
 #[test]
-fn all_routers_together_send_a_cold_endpoint_what_it_bears() {
+fn all_routers_together_respect_the_limit_of_a_cold_endpoint() {
     let mut cold = endpoint("cold");
     cold.warmup_ms = 3_000;
     for routers in [1, 5, 63, 300] {
         let mut sent = 0;
         for router in 0..routers {
             let router = HostId(router as u32);
-            let part = ColdLimit { per_second: Some(20.0), routers, router };
+            let limit = ColdLimit { per_second: Some(20.0), routers, router };
             let mut endpoints = EndpointTracker::default();
             for now in 0..1_000 {
                 let ready = std::iter::once(&cold);
-                if endpoints.choose(now, ready, &[], ANY, part).is_some() {
+                if endpoints.choose(now, ready, &[], ANY, limit).is_some() {
                     endpoints.record_sent(now, "cold", 0, 0);
                     sent += 1;
                 }
@@ -310,28 +310,28 @@
 }
 
 #[test]
-fn a_cold_endpoint_gets_more_a_second_later_and_a_warm_one_at_once() {
+fn a_cold_endpoint_gets_more_after_a_second_and_a_warm_one_at_once() {
     let mut cold = endpoint("a");
     cold.warmup_ms = 3_000;
-    let part = ColdLimit { per_second: Some(1.0), routers: 1, router: HostId(1) };
+    let limit = ColdLimit { per_second: Some(1.0), routers: 1, router: HostId(1) };
     let mut endpoints = EndpointTracker::default();
     endpoints.record_sent(10, "a", 0, 0);
     let choose = |now, endpoint: &Registration| {
-        endpoints.choose(now, std::iter::once(endpoint), &[], ANY, part).is_some()
+        endpoints.choose(now, std::iter::once(endpoint), &[], ANY, limit).is_some()
     };
     assert!(!choose(1_009, &cold));
     assert!(choose(1_010, &cold));
     assert!(choose(11, &endpoint("a")));
 }
 
-/// Requests that were meant for the start before reached the new one before it was known.
+/// Requests meant for the previous start may reach the new one before it is known.
 #[test]
-fn what_was_sent_before_a_cold_start_was_known_counts_for_it() {
+fn requests_sent_to_the_previous_start_count_for_a_cold_start() {
     let cold = Registration { started_at_ms: 2_000, warmup_ms: 3_000, ..endpoint("a") };
-    let part = ColdLimit { per_second: Some(2.0), routers: 1, router: HostId(1) };
+    let limit = ColdLimit { per_second: Some(2.0), routers: 1, router: HostId(1) };
     let mut endpoints = EndpointTracker::default();
     let may_send = |endpoints: &EndpointTracker, now| {
-        endpoints.choose(now, std::iter::once(&cold), &[], ANY, part).is_some()
+        endpoints.choose(now, std::iter::once(&cold), &[], ANY, limit).is_some()
     };
     endpoints.record_sent(10, "a", 1_000, 0);
     assert!(may_send(&endpoints, 11));
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn callers_cannot_say_what_only_the_gateway_may_say() {
+fn callers_cannot_set_headers_reserved_for_the_gateway() {
     use axum::http::{HeaderMap, HeaderName, HeaderValue};
 
     let reserved = HeaderName::from_static("x-reserved");
@@ -355,7 +355,7 @@
         &reserved,
     ];
     for name in names {
-        headers.insert(name, HeaderValue::from_static("said by the caller"));
+        headers.insert(name, HeaderValue::from_static("set by the caller"));
     }
     let forwarding = Forwarding {
         remaining_ms: 70,
@@ -365,21 +365,21 @@
         after_event: None,
     };
     header_names.write_request(&mut headers, &forwarding);
-    let left: Vec<_> = headers.iter().map(|(name, value)| (name.as_str(), value)).collect();
-    assert_eq!(left.len(), 2, "{left:?}");
+    let remaining: Vec<_> = headers.iter().map(|(name, value)| (name.as_str(), value)).collect();
+    assert_eq!(remaining.len(), 2, "{remaining:?}");
     assert_eq!(headers[&header_names.endpoint], "e1");
     assert_eq!(headers[&header_names.deadline], "70");
 }
 
 #[test]
-fn a_router_that_chooses_an_engine_alone_leaves_cold_ones_to_the_placer() {
+fn a_router_that_chooses_engines_itself_leaves_cold_ones_to_the_placer() {
     let mut cold = endpoint("a");
     cold.warmup_ms = 3_000;
     for router in 0..300 {
-        let part = ColdLimit { per_second: Some(6.1), routers: 63, router: HostId(router) };
-        let alone = part.reserved_for_placer(true);
+        let limit = ColdLimit { per_second: Some(6.1), routers: 63, router: HostId(router) };
+        let reserved = limit.reserved_for_placer(true);
         assert!(
-            EndpointTracker::default().choose(0, [&cold].into_iter(), &[], ANY, alone).is_none()
+            EndpointTracker::default().choose(0, [&cold].into_iter(), &[], ANY, reserved).is_none()
         );
     }
     let without_bound = ANY_COLD.reserved_for_placer(true);
@@ -388,18 +388,18 @@
 }
 
 #[test]
-fn what_was_seen_of_an_earlier_start_says_nothing_of_a_later_one() {
-    let again = [Registration { started_at_ms: 2_000, ..endpoint("a") }];
+fn observations_of_an_earlier_start_do_not_apply_to_a_later_one() {
+    let restarted = [Registration { started_at_ms: 2_000, ..endpoint("a") }];
     let mut endpoints = EndpointTracker::default();
     endpoints.record_sent(0, "a", 1_000, 500);
     endpoints.record_failure(0, "a", 1_000, Failure::Replaced);
-    assert!(endpoints.choose(0, again.iter(), &[], ANY, ANY_COLD).is_some());
+    assert!(endpoints.choose(0, restarted.iter(), &[], ANY, ANY_COLD).is_some());
     endpoints.record_sent(0, "a", 2_000, 500);
-    // What ends now was sent to the earlier start.
+    // This request was sent to the earlier start.
     endpoints.record_end("a", 1_000);
     assert_eq!(endpoints.record_failure(1, "a", 1_000, Failure::Replaced), 0);
-    let other = [again[0].clone(), endpoint("b")];
+    let other = [restarted[0].clone(), endpoint("b")];
     assert_eq!(endpoints.choose(1, other.iter(), &[], ANY, ANY_COLD).unwrap().id, "b");
     endpoints.record_end("a", 2_000);
-    assert!(endpoints.choose(1, again.iter(), &[], ANY, ANY_COLD).is_some());
+    assert!(endpoints.choose(1, restarted.iter(), &[], ANY, ANY_COLD).is_some());
 }
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -21,25 +21,25 @@
 use crate::testing::{peer_address, route, start_peers};
 use crate::wire::Role;
 
-/// An endpoint that answers everything with one status.
-struct Answering {
+/// An endpoint that answers every request with one status.
+struct StubEndpoint {
     address: SocketAddr,
     served: Arc<AtomicUsize>,
 }
 
-impl Answering {
-    async fn start(status: StatusCode) -> Answering {
+impl StubEndpoint {
+    async fn start(status: StatusCode) -> StubEndpoint {
         let served = Arc::new(AtomicUsize::new(0));
-        let counted = served.clone();
+        let counter = served.clone();
         let answer = move || {
-            counted.fetch_add(1, Ordering::Relaxed);
+            counter.fetch_add(1, Ordering::Relaxed);
             std::future::ready(status)
         };
         let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         let app = axum::Router::new().fallback(answer);
         tokio::spawn(async move { axum::serve(listener, app).await });
-        Answering { address, served }
+        StubEndpoint { address, served }
     }
 
     fn served(&self) -> usize {
@@ -47,7 +47,7 @@
     }
 }
 
-/// A router that reaches no control host, and the order to roll `v2` out.
+/// A router without connection to any control host, and the rollout of `v2`.
 struct Fleet {
     gateway: Arc<Gateway>,
     rollouts: Rollouts,
@@ -55,7 +55,7 @@
 }
 
 impl Fleet {
-    async fn start(host: u8, new: &Answering, old: &Answering) -> Fleet {
+    async fn start(host: u8, new: &StubEndpoint, old: &StubEndpoint) -> Fleet {
         let (peers, _) = start_peers(Role::Router, host, vec![]).await;
         let address = peer_address(host);
         let rules = GatewaySettings {
@@ -91,12 +91,12 @@
         };
         let stop = CancellationToken::new();
         let gateway = Gateway::new(settings, rules, peers, Arc::new(HeaderNames::native()), stop);
-        let of = |id: &str, version: &str, answering: &Answering| Registration {
+        let registration = |id: &str, version: &str, stub: &StubEndpoint| Registration {
             version: version.into(),
-            address: Some(answering.address),
+            address: Some(stub.address),
             ..endpoint(id)
         };
-        let endpoints = [of("new", "v2", new), of("old", "v1", old)];
+        let endpoints = [registration("new", "v2", new), registration("old", "v1", old)];
         gateway.registry.merge(endpoints, Hearing::SecondHand);
         let mut rollouts = Rollouts::default();
         rollouts.start(Order {
@@ -161,15 +161,15 @@
     }
 }
 
-async fn two(new: StatusCode, old: StatusCode) -> [Answering; 2] {
-    [Answering::start(new).await, Answering::start(old).await]
+async fn start_stubs(new: StatusCode, old: StatusCode) -> [StubEndpoint; 2] {
+    [StubEndpoint::start(new).await, StubEndpoint::start(old).await]
 }
 
-/// Thousandths of which the first draws almost always come to the new release.
-const MOST: u32 = 999;
+/// A share in permille with which the first choice is almost always the new release.
+const ALMOST_ALL_PERMILLE: u32 = 999;
 
-/// A call that has drawn the new release.
-async fn drawn(fleet: &Fleet) -> Arc<Call> {
+/// A call that was assigned to the new release.
+async fn call_for_new_release(fleet: &Fleet) -> Arc<Call> {
     loop {
         let call = fleet.call();
         if fleet.version(&call).await == "v2" {
@@ -179,38 +179,38 @@
 }
 
 #[tokio::test]
-async fn a_router_that_is_cut_off_sends_the_new_release_nothing() {
-    let [new, old] = two(StatusCode::OK, StatusCode::OK).await;
+async fn a_router_without_a_grant_sends_nothing_to_the_new_release() {
+    let [new, old] = start_stubs(StatusCode::OK, StatusCode::OK).await;
     let mut fleet = Fleet::start(101, &new, &old).await;
     for _ in 0..50 {
         assert_eq!(run(fleet.call()).await.status(), StatusCode::OK);
     }
     assert_eq!((new.served(), old.served()), (0, 50));
-    // Where no endpoint of another release takes work, callers are served even so.
+    // Where no endpoint of another release takes work, the new release serves even so.
     let gone = Registration { state: EndpointState::Leaving, sequence: 2, ..endpoint("old") };
     fleet.gateway.registry.merge([gone], Hearing::SecondHand);
     assert_eq!(run(fleet.call()).await.status(), StatusCode::OK);
-    // But not what was found bad.
+    // But not a release that was rolled back.
     fleet.step(Stage::RolledBack);
     assert_eq!(run(fleet.call()).await.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(new.served(), 1);
 }
 
 #[tokio::test]
-async fn a_grant_that_ends_takes_back_what_was_drawn_by_it() {
-    let [new, old] = two(StatusCode::OK, StatusCode::OK).await;
+async fn an_expired_grant_revokes_the_choice_of_the_new_release() {
+    let [new, old] = start_stubs(StatusCode::OK, StatusCode::OK).await;
     let mut fleet = Fleet::start(102, &new, &old).await;
-    fleet.grant(MOST, 60_000);
-    let call = drawn(&fleet).await;
-    fleet.grant(MOST, 0);
+    fleet.grant(ALMOST_ALL_PERMILLE, 60_000);
+    let call = call_for_new_release(&fleet).await;
+    fleet.grant(ALMOST_ALL_PERMILLE, 0);
     assert_eq!(fleet.version(&call).await, "v1");
     assert_eq!(run(call).await.status(), StatusCode::OK);
     assert_eq!((new.served(), old.served()), (0, 1));
 }
 
 #[tokio::test]
-async fn what_waits_while_its_release_is_rolled_back_is_not_sent_there() {
-    let [new, old] = two(StatusCode::OK, StatusCode::OK).await;
+async fn a_waiting_request_is_not_sent_to_a_release_that_was_rolled_back() {
+    let [new, old] = start_stubs(StatusCode::OK, StatusCode::OK).await;
     let mut fleet = Fleet::start(103, &new, &old).await;
     fleet.grant(1_000, 60_000);
     let call = fleet.call();
@@ -226,18 +226,18 @@
 
 #[tokio::test]
 async fn a_request_that_fails_at_the_new_release_is_answered_by_another() {
-    let [new, old] = two(StatusCode::INTERNAL_SERVER_ERROR, StatusCode::OK).await;
+    let [new, old] = start_stubs(StatusCode::INTERNAL_SERVER_ERROR, StatusCode::OK).await;
     let mut fleet = Fleet::start(104, &new, &old).await;
-    fleet.grant(MOST, 60_000);
-    let call = drawn(&fleet).await;
+    fleet.grant(ALMOST_ALL_PERMILLE, 60_000);
+    let call = call_for_new_release(&fleet).await;
     assert_eq!(run(call).await.status(), StatusCode::OK);
     assert_eq!((new.served(), old.served()), (1, 1));
     let report = fleet.report();
-    let of = |release| {
+    let answers_of = |release| {
         let tallies = &report.services[0].tallies;
         tallies.iter().find(|tally| tally.release == release).unwrap().answers.clone()
     };
-    let (new, old) = (of(Release::New), of(Release::Old));
+    let (new, old) = (answers_of(Release::New), answers_of(Release::Old));
     assert_eq!((new.sent, new.failed, new.first_byte_times.len()), (1, 1, 0));
     assert_eq!((old.sent, old.failed, old.first_byte_times.len()), (1, 0, 1));
     assert_eq!(report.services[0].open_on_old, 0);
@@ -245,21 +245,21 @@
 
 #[tokio::test]
 async fn a_request_for_which_the_new_release_has_no_place_goes_to_another() {
-    let [new, old] = two(StatusCode::OK, StatusCode::OK).await;
+    let [new, old] = start_stubs(StatusCode::OK, StatusCode::OK).await;
     let mut fleet = Fleet::start(105, &new, &old).await;
-    for permille in [MOST, 1_000] {
+    for permille in [ALMOST_ALL_PERMILLE, 1_000] {
         fleet.grant(permille, 60_000);
-        let call = drawn(&fleet).await;
+        let call = call_for_new_release(&fleet).await;
         let other = fleet.place(&call, &["new".into()]).await.unwrap();
         assert_eq!(other.version, "v1");
     }
 }
 
 #[tokio::test]
-async fn an_answer_goes_on_at_its_own_release_or_not_at_all() {
-    let [new, old] = two(StatusCode::OK, StatusCode::OK).await;
+async fn an_answer_is_resumed_only_on_its_own_release() {
+    let [new, old] = start_stubs(StatusCode::OK, StatusCode::OK).await;
     let mut fleet = Fleet::start(106, &new, &old).await;
-    fleet.grant(MOST, 60_000);
+    fleet.grant(ALMOST_ALL_PERMILLE, 60_000);
     for (version, id) in [("v2", "new"), ("v1", "old")] {
         let call = fleet.call();
         call.bind(version);
@@ -273,11 +273,11 @@
 }
 
 #[tokio::test]
-async fn what_could_not_be_reported_is_kept() {
-    let [new, old] = two(StatusCode::OK, StatusCode::OK).await;
+async fn an_unsent_report_is_kept() {
+    let [new, old] = start_stubs(StatusCode::OK, StatusCode::OK).await;
     let fleet = Fleet::start(107, &new, &old).await;
     run(fleet.call()).await;
-    // There is no leader, so the first report is put back, before the task waits.
+    // Without a leader the first report is put back before the task waits.
     let reporting = tokio::spawn(report(fleet.gateway.clone()));
     tokio::task::yield_now().await;
     reporting.abort();
@@ -286,13 +286,13 @@
 
 #[tokio::test]
 async fn a_run_on_an_old_release_is_open_until_its_answer_has_ended() {
-    let [new, old] = two(StatusCode::OK, StatusCode::OK).await;
+    let [new, old] = start_stubs(StatusCode::OK, StatusCode::OK).await;
     let fleet = Fleet::start(108, &new, &old).await;
     let call = fleet.call();
     let endpoint = fleet.place(&call, &[]).await.unwrap();
-    let opened = exchange::begin_attempt(&call, &endpoint, None, None).await;
-    let opened = opened.unwrap_or_else(|_| panic!("it answers"));
+    let pending = exchange::begin_attempt(&call, &endpoint, None, None).await;
+    let pending = pending.unwrap_or_else(|_| panic!("it answers"));
     assert_eq!(fleet.report().services[0].open_on_old, 1);
-    drop(opened);
+    drop(pending);
     assert_eq!(fleet.report().services[0].open_on_old, 0);
 }
