--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -16,7 +16,7 @@
 use crate::error::{Result, RpcSnafu};
 use crate::feed::Neighbour;
 use crate::notice::{Notice, StartAddress};
-use crate::registry::{EndpointStart, Hearing};
+use crate::registry::{EndpointStart, Origin};
 use crate::wire::{Open, write_frame};
 
 /// Most bytes of a head that are scanned.
@@ -99,7 +99,7 @@
 }
 
 fn apply_leaving_report(gateway: &Arc<Gateway>, report: &LeavingReport) {
-    gateway.registry.leave(&report.starts, Hearing::SecondHand);
+    gateway.registry.record_leaving(&report.starts, Origin::Relayed);
     let now = gateway.now();
     let leaves = Notice { leaves: true, ..Notice::default() };
     for (start, address) in &report.unattributed {
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -10,7 +10,7 @@
 use crate::dispatch::Millis;
 use crate::notice::{Notice, RequestedRest};
 use crate::placement::EndpointStartRef;
-use crate::registry::{EndpointStart, Hearing, Registration};
+use crate::registry::{EndpointStart, Origin, Registration};
 
 impl Call {
     /// Applies the notice in the head of an answer, whatever became of the request. Returns
@@ -107,7 +107,7 @@
     /// follows, and then the answer is the only notification that arrives here.
     fn record_leaving(&self, start: EndpointStart) {
         let starts = [start];
-        if self.registry.leave(&starts, Hearing::SecondHand) {
+        if self.registry.record_leaving(&starts, Origin::Relayed) {
             log::info!("gateway: endpoint {} reports in an answer that it leaves", starts[0].id);
             self.feeds.report_leaving(&starts);
         }
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -15,7 +15,7 @@
 use super::*;
 use crate::clock::BootInstant;
 use crate::quarantine::Fingerprint;
-use crate::registry::Hearing;
+use crate::registry::Origin;
 use crate::rollout::{Grant, Grants, Order, Release, Report, Rollouts, Stage, Step};
 use crate::settings::{GatewaySettings, HostSettings, RouterSettings};
 use crate::testing::{peer_address, route, start_peers};
@@ -97,7 +97,7 @@
             ..endpoint(id)
         };
         let endpoints = [registration("new", "v2", new), registration("old", "v1", old)];
-        gateway.registry.merge(endpoints, Hearing::SecondHand);
+        gateway.registry.merge(endpoints, Origin::Relayed);
         let mut rollouts = Rollouts::default();
         rollouts.start(Order {
             service: "app".into(),
@@ -188,7 +188,7 @@
     assert_eq!((new.served(), old.served()), (0, 50));
     // Where no endpoint of another release takes work, the new release serves even so.
     let gone = Registration { state: EndpointState::Leaving, sequence: 2, ..endpoint("old") };
-    fleet.gateway.registry.merge([gone], Hearing::SecondHand);
+    fleet.gateway.registry.merge([gone], Origin::Relayed);
     assert_eq!(run(fleet.call()).await.status(), StatusCode::OK);
     // But not a release that was rolled back.
     fleet.step(Stage::RolledBack);
