--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -205,8 +205,8 @@
         fresh.send(request).await.map_err(|(error, _)| error)
     }
 
-    /// An idle connection to this start of an endpoint. On other ones, an earlier start may have
-    /// answered.
+    /// Takes an idle connection to this start of an endpoint. Connections opened for other
+    /// starts are dropped, since an earlier start may have answered on them.
     fn pop_idle(&self, endpoint: &str, target: Target) -> Option<Connection> {
         let mut idle = self.lock();
         let kept = idle.get_mut(endpoint)?;
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -47,8 +47,8 @@
         let Some(head) = &mut self.head else { return };
         head.extend_from_slice(bytes);
         match parse_leaving(head, &self.leaving) {
-            Some(leaves) => {
-                if leaves {
+            Some(is_leaving) => {
+                if is_leaving {
                     (self.on_leaving)();
                 }
                 self.head = None;
@@ -101,11 +101,13 @@
 fn apply_leaving_report(gateway: &Arc<Gateway>, report: &LeavingReport) {
     gateway.registry.record_leaving(&report.starts, Origin::Relayed);
     let now = gateway.now();
-    let leaves = Notice { leaves: true, ..Notice::default() };
+    let leaving_notice = Notice { leaves: true, ..Notice::default() };
     for (start, address) in &report.unattributed {
         let (id, started_at_ms) = (start.id.as_str(), start.started_at_ms);
         let start = StartAddress { id, started_at_ms, address: *address };
-        gateway.with_endpoints(|endpoints| endpoints.unattributed().record(now, start, &leaves));
+        gateway.with_endpoints(|endpoints| {
+            endpoints.unattributed().record(now, start, &leaving_notice)
+        });
         gateway.check_if_uncertain(id);
     }
 }
--- a/src/gateway/observation.rs
+++ b/src/gateway/observation.rs
@@ -18,7 +18,7 @@
     /// The endpoint's release.
     pub version: String,
     /// The tally that the request counts in, while a release is rolled out.
-    sample: Option<TallyKey>,
+    tally_key: Option<TallyKey>,
     is_cold: bool,
     sent_at: Instant,
     has_answered: bool,
@@ -31,7 +31,7 @@
         let gateway = call.gateway.clone();
         let table = gateway.rollouts.table();
         let rollout = table.get(&call.service).filter(|rollout| !rollout.stage.is_final());
-        let sample = rollout.map(|rollout| TallyKey {
+        let tally_key = rollout.map(|rollout| TallyKey {
             service: call.service.clone(),
             number: rollout.number,
             route: call.route.name.clone(),
@@ -39,15 +39,15 @@
         });
         gateway.with_releases(|releases| {
             releases.tally.record_opened(&call.service, &endpoint.version);
-            if let Some(sample) = &sample {
-                releases.tally.record_sent(sample);
+            if let Some(tally_key) = &tally_key {
+                releases.tally.record_sent(tally_key);
             }
         });
         let observation = ReleaseObservation {
             gateway,
             service: call.service.clone(),
             version: endpoint.version.clone(),
-            sample,
+            tally_key,
             is_cold: endpoint.warmup_ms > 0,
             sent_at: Instant::now(),
             has_answered: false,
@@ -74,14 +74,14 @@
 
     /// Records that the answer began without an error.
     pub fn record_answered(&mut self) {
-        let Some(sample) = &self.sample else { return };
+        let Some(tally_key) = &self.tally_key else { return };
         if std::mem::replace(&mut self.has_answered, true) {
             return;
         }
         let ms = self.sent_at.elapsed().as_secs_f64() * 1_000.0;
         self.gateway.with_releases(|releases| match self.is_cold {
-            true => releases.tally.record_answered_cold(sample),
-            false => releases.tally.record_answered(sample, ms),
+            true => releases.tally.record_answered_cold(tally_key),
+            false => releases.tally.record_answered(tally_key, ms),
         });
     }
 
@@ -91,10 +91,10 @@
         if std::mem::replace(&mut self.has_failed, true) {
             return;
         }
-        if let Some(sample) = &self.sample {
+        if let Some(tally_key) = &self.tally_key {
             self.gateway.with_releases(|releases| match self.has_answered {
-                true => releases.tally.record_truncated(sample),
-                false => releases.tally.record_failed(sample),
+                true => releases.tally.record_truncated(tally_key),
+                false => releases.tally.record_failed(tally_key),
             });
         }
         self.count("failed");
@@ -104,15 +104,15 @@
         if self.has_failed {
             return;
         }
-        if let Some(sample) = &self.sample {
-            self.gateway.with_releases(|releases| releases.tally.record_unsent(sample));
+        if let Some(tally_key) = &self.tally_key {
+            self.gateway.with_releases(|releases| releases.tally.record_unsent(tally_key));
         }
         self.count("unsent");
     }
 
     fn count(&self, outcome: &str) {
-        if let Some(sample) = &self.sample {
-            let release = match sample.release {
+        if let Some(tally_key) = &self.tally_key {
+            let release = match tally_key.release {
                 Release::New => "new",
                 Release::Old => "old",
             };
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -114,8 +114,8 @@
             self.call.record_served();
             self.call.gateway.connections.keep_idle(&source.assignment.endpoint, source.connection);
         }
-        let rest = self.splitter.as_mut().map(EventSplitter::finish);
-        rest.filter(|rest| !rest.is_empty())
+        let remainder = self.splitter.as_mut().map(EventSplitter::finish);
+        remainder.filter(|remainder| !remainder.is_empty())
     }
 
     /// Resumes the stream after its last complete event on another endpoint of the same
