--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,14 +1,15 @@
-//! The gateway: a router for opaque requests of any method, path and headers,
-//! by the routes of the agreed document.
+//! The gateway: a router that proxies HTTP requests of any method, path and headers
+//! according to the routes of the agreed routing document.
 //!
-//! A request is read whole, its route and customer are looked up, an endpoint is
-//! chosen, and the answer is passed on as it comes. What an endpoint has not run
-//! may be sent to another one; what it may have run only where that is allowed.
+//! The gateway buffers a request, resolves its route and customer, chooses an endpoint and
+//! streams the answer back. A request that an endpoint has not run may be retried on another;
+//! one that may have run is retried only where its route allows that.
 
 mod arrival;
 mod budget;
 mod callers;
 mod connections;
+mod destination;
 mod endpoints;
 mod events;
 mod exchange;
@@ -19,9 +20,8 @@
 mod nearby;
 mod neighbours;
 mod notices;
-mod observed;
+mod observation;
 mod overload;
-mod placing;
 mod refusal;
 mod request;
 mod rollouts;
@@ -35,7 +35,7 @@
 pub use budget::{BudgetRules, RetryBudgets};
 pub use endpoints::{ColdLimit, EndpointTracker, Failure, Preference};
 pub use events::EventSplitter;
-pub use header_names::{AnswerHead, CallHead, Forwarding, HeaderNames, PromptPart};
+pub use header_names::{AnswerHead, Forwarding, HeaderNames, PromptPart, RequestHead};
 pub use neighbours::Neighbours;
 pub use overload::{Overload, OverloadRules};
 pub use server::run;
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,5 +1,5 @@
-//! Passing a stream of events on as they come, and taking it up at another
-//! endpoint when it breaks off, where its route allows that.
+//! Relaying streams of events as they arrive. A truncated stream is resumed on another
+//! endpoint where its route allows that.
 
 use std::sync::Arc;
 
@@ -10,54 +10,54 @@
 use hyper::body::Incoming;
 
 use super::connections::Connection;
+use super::destination::Destination;
 use super::endpoints::Failure;
 use super::events::EventSplitter;
-use super::exchange::{self, Opened, strip_connection_headers};
-use super::placing::Place;
+use super::exchange::{self, PendingAnswer, strip_connection_headers};
 use super::request::Call;
-use super::state::Ticket;
+use super::state::Assignment;
 use crate::placement::Completion;
 
-/// A stream under way. Dropping it closes the endpoint's connection, which ends
-/// the run there.
+/// A stream being relayed. Dropping it closes the endpoint's connection, which ends the run
+/// there.
 struct Relay {
     call: Arc<Call>,
     source: Option<Source>,
     tried: Vec<String>,
-    /// Set where the stream may be taken up elsewhere, event by event.
+    /// Set if the stream may be resumed elsewhere: it is then relayed event by event.
     splitter: Option<EventSplitter>,
 }
 
-/// Where a stream comes from.
+/// The endpoint that a stream is read from.
 struct Source {
     incoming: Incoming,
     connection: Connection,
-    ticket: Ticket,
+    assignment: Assignment,
 }
 
-/// Why a stream is broken off; the caller sees its connection close.
+/// Why a stream is truncated; the caller's connection is closed.
 #[derive(Debug, snafu::Snafu)]
-enum BrokenOff {
-    #[snafu(display("the endpoint broke off"))]
-    Endpoint,
-    #[snafu(display("the time is up"))]
-    TimeUp,
+enum StreamError {
+    #[snafu(display("the endpoint closed the connection early"))]
+    Truncated,
+    #[snafu(display("the deadline has passed"))]
+    TimedOut,
 }
 
-/// The answer for the caller: the endpoint's head, and its events as they come.
-pub(super) fn relay(call: &Arc<Call>, opened: Opened) -> Response<Body> {
-    let Opened { response, connection, mut ticket } = opened;
-    ticket.set_ending(Completion::Abandoned);
+/// The answer for the caller: the endpoint's head, and its events as they arrive.
+pub(super) fn relay(call: &Arc<Call>, pending: PendingAnswer) -> Response<Body> {
+    let PendingAnswer { response, connection, mut assignment } = pending;
+    assignment.set_completion(Completion::Abandoned);
     let (mut head, incoming) = response.into_parts();
     strip_connection_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
-    call.bind(&ticket.observed.version);
-    let resumes = call.route.resumable && call.route.attempts > 1;
+    call.bind(&assignment.observation.version);
+    let is_resumable = call.route.resumable && call.route.attempts > 1;
     let relay = Relay {
         call: call.clone(),
-        tried: vec![ticket.endpoint.clone()],
-        source: Some(Source { incoming, connection, ticket }),
-        splitter: resumes.then(|| EventSplitter::after(call.head.last_event.clone())),
+        tried: vec![assignment.endpoint.clone()],
+        source: Some(Source { incoming, connection, assignment }),
+        splitter: is_resumable.then(|| EventSplitter::after(call.head.last_event.clone())),
     };
     let events = futures_util::stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
@@ -71,22 +71,25 @@
 }
 
 impl Relay {
-    /// The next bytes; none at the end of a whole stream.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
+    /// The next bytes; `None` at the end of a complete stream.
+    async fn next(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             let Some(source) = &mut self.source else { return Ok(None) };
             let frame = tokio::time::timeout(self.call.remaining(), source.incoming.frame());
             let Ok(frame) = frame.await else {
-                source.ticket.observed.failed();
-                log::info!("gateway: request {} ran out of time", self.call.number);
-                return Err(BrokenOff::TimeUp);
+                source.assignment.observation.record_failed();
+                log::info!(
+                    "gateway: request {} ran out of time during its stream",
+                    self.call.number
+                );
+                return Err(StreamError::TimedOut);
             };
             match frame {
                 Some(Ok(frame)) => {
-                    // Trailers concern this connection only.
+                    // Trailers are specific to this connection.
                     let Ok(bytes) = frame.into_data() else { continue };
-                    source.ticket.begun();
-                    self.call.heard_from(&source.ticket);
+                    source.assignment.record_first_event();
+                    self.call.record_stream_data(&source.assignment);
                     let bytes = match &mut self.splitter {
                         Some(splitter) => splitter.push(&bytes),
                         None => bytes,
@@ -96,7 +99,7 @@
                     }
                 }
                 Some(Err(error)) => {
-                    self.call.lost_at(&source.ticket, &error.to_string());
+                    self.call.record_lost_answer(&source.assignment, &error.to_string());
                     self.resume().await?;
                 }
                 None => return Ok(self.finish()),
@@ -104,53 +107,64 @@
         }
     }
 
-    /// The stream came to its end.
+    /// Ends a complete stream; returns the bytes after its last event.
     fn finish(&mut self) -> Option<Bytes> {
         if let Some(mut source) = self.source.take() {
-            source.ticket.set_ending(Completion::Served);
-            self.call.served();
-            self.call.gateway.connections.keep(&source.ticket.endpoint, source.connection);
+            source.assignment.set_completion(Completion::Served);
+            self.call.record_served();
+            self.call.gateway.connections.keep_idle(&source.assignment.endpoint, source.connection);
         }
-        let rest = self.splitter.as_mut().map(EventSplitter::finish);
-        rest.filter(|rest| !rest.is_empty())
+        let remainder = self.splitter.as_mut().map(EventSplitter::finish);
+        remainder.filter(|remainder| !remainder.is_empty())
     }
 
-    /// Takes the stream up behind its last whole event at another endpoint of the same
-    /// release: another release may say something else.
-    async fn resume(&mut self) -> Result<(), BrokenOff> {
-        let Some(mut broken) = self.source.take() else { return Err(BrokenOff::Endpoint) };
+    /// Resumes the stream after its last complete event on another endpoint of the same
+    /// release, since the output of another release may differ.
+    async fn resume(&mut self) -> Result<(), StreamError> {
+        let Some(mut lost) = self.source.take() else { return Err(StreamError::Truncated) };
         let call = self.call.clone();
-        let ticket = &broken.ticket;
-        call.gateway.note_failure(&ticket.endpoint, ticket.started_at_ms, Failure::Failed);
-        broken.ticket.set_ending(Completion::Failed);
-        broken.ticket.observed.failed();
-        drop(broken);
-        let Some(splitter) = &mut self.splitter else { return Err(BrokenOff::Endpoint) };
+        let assignment = &lost.assignment;
+        call.gateway.record_failure(
+            &assignment.endpoint,
+            assignment.started_at_ms,
+            Failure::Failed,
+        );
+        lost.assignment.set_completion(Completion::Failed);
+        lost.assignment.observation.record_failed();
+        drop(lost);
+        let Some(splitter) = &mut self.splitter else { return Err(StreamError::Truncated) };
         splitter.discard_partial();
         let runs = self.tried.len() as u32;
-        let may_go_on = call.may_go_on() && call.crashes_endpoints().is_none();
-        if runs >= call.route.attempts || !may_go_on || !call.may_repeat() {
-            return Err(BrokenOff::Endpoint);
+        let may_resume = call.may_resume() && call.crash_refusal().is_none();
+        if runs >= call.route.attempts || !may_resume || !call.try_spend_retry() {
+            return Err(StreamError::Truncated);
         }
-        let Place::At(endpoint, reservation) = call.place(&self.tried).await else {
-            return Err(BrokenOff::Endpoint);
+        let Destination::Endpoint(endpoint, reservation) =
+            call.choose_destination(&self.tried).await
+        else {
+            return Err(StreamError::Truncated);
         };
         self.tried.push(endpoint.id.clone());
         let after = splitter.last_id().map(str::to_string);
-        log::info!("gateway: request {} goes on at {} after {after:?}", call.number, endpoint.id);
-        let opened = exchange::open(&call, &endpoint, reservation, after.as_deref()).await;
-        let Ok(Opened { response, connection, mut ticket }) = opened else {
-            return Err(BrokenOff::Endpoint);
+        log::info!(
+            "gateway: request {} is resumed on {} after {after:?}",
+            call.number,
+            endpoint.id
+        );
+        let pending =
+            exchange::begin_attempt(&call, &endpoint, reservation, after.as_deref()).await;
+        let Ok(PendingAnswer { response, connection, mut assignment }) = pending else {
+            return Err(StreamError::Truncated);
         };
         if response.status() != StatusCode::OK {
-            let (status, at) = (response.status(), &ticket.endpoint);
-            log::info!("gateway: request {} cannot go on at {at}: {status}", call.number);
-            ticket.observed.failed();
-            return Err(BrokenOff::Endpoint);
+            let (status, at) = (response.status(), &assignment.endpoint);
+            log::info!("gateway: request {} cannot be resumed on {at}: {status}", call.number);
+            assignment.observation.record_failed();
+            return Err(StreamError::Truncated);
         }
         call.gateway.metrics.resumed.with_label_values(&[&call.service]).inc();
-        ticket.set_ending(Completion::Abandoned);
-        self.source = Some(Source { incoming: response.into_body(), connection, ticket });
+        assignment.set_completion(Completion::Abandoned);
+        self.source = Some(Source { incoming: response.into_body(), connection, assignment });
         Ok(())
     }
 }
