--- a/src/control.rs
+++ b/src/control.rs
@@ -38,7 +38,7 @@
 use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
 use crate::spread::{self, Configs};
-use crate::store::{Disk, Found};
+use crate::store::{Disk, RecoveredState};
 use crate::wire::{HostId, Open, Role, Traffic};
 
 /// How long to wait for a disk that refuses to be opened.
@@ -105,7 +105,7 @@
 
 /// Opens the data folder. While the disk refuses, it is tried again; damage and
 /// a folder in use are errors.
-async fn open_disk(settings: &ControlSettings) -> Result<(Disk, Found)> {
+async fn open_disk(settings: &ControlSettings) -> Result<(Disk, RecoveredState)> {
     loop {
         match Disk::open(&settings.data) {
             Err(error @ Error::File { .. }) if settings.wait_for_disk => {
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -20,7 +20,7 @@
 use crate::error::{NetSnafu, Result};
 use crate::peer::Peers;
 use crate::settings::ControlSettings;
-use crate::store::{Disk, DiskWriter, Found};
+use crate::store::{Disk, DiskWriter, RecoveredState};
 
 /// Events taken together, so that they share one sync.
 const MAX_BATCH: usize = 1_024;
@@ -40,7 +40,7 @@
     peers: Arc<Peers>,
     published: Published,
     disk: Disk,
-    found: Found,
+    found: RecoveredState,
 ) -> Result<(Handle, JoinHandle<Result<()>>)> {
     let store = disk.identity();
     let (disk, synced) =
--- a/src/store.rs
+++ b/src/store.rs
@@ -11,5 +11,5 @@
 mod tests;
 mod writer;
 
-pub use disk::{Disk, Found};
+pub use disk::{Disk, RecoveredState};
 pub use writer::DiskWriter;
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -20,7 +20,7 @@
 
 /// What a data folder held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct RecoveredState {
     /// Term and vote.
     pub hard: HardState,
     /// The last snapshot.
@@ -47,7 +47,7 @@
 
 impl Disk {
     /// Opens a folder, creating it and its identity when it is empty.
-    pub fn open(folder: &Path) -> Result<(Disk, Found)> {
+    pub fn open(folder: &Path) -> Result<(Disk, RecoveredState)> {
         std::fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
         let lock = lock(folder)?;
         let identity = identity(folder)?;
@@ -57,7 +57,7 @@
         let mut log = open_log(&path)?;
         let mut bytes = Vec::new();
         log.read_to_end(&mut bytes).context(FileSnafu { path: &path })?;
-        let mut found = Found { snapshot, ..Found::default() };
+        let mut found = RecoveredState { snapshot, ..RecoveredState::default() };
         let replayed = replay(&path, &bytes, &mut found)?;
         if found.cut_bytes > 0 {
             log.set_len(replayed.length).context(FileSnafu { path: &path })?;
@@ -171,7 +171,7 @@
     fn entries_after(&self, snapshot: &Snapshot) -> Result<Vec<Entry>> {
         let path = self.folder.join(LOG);
         let bytes = std::fs::read(&path).context(FileSnafu { path: &path })?;
-        let mut found = Found::default();
+        let mut found = RecoveredState::default();
         replay(&path, &bytes, &mut found)?;
         let held = found.entries.iter().find(|e| e.index == snapshot.index);
         if held.is_none_or(|e| e.term != snapshot.term) {
@@ -250,7 +250,7 @@
     sync: u64,
 }
 
-fn replay(path: &Path, bytes: &[u8], found: &mut Found) -> Result<Replayed> {
+fn replay(path: &Path, bytes: &[u8], found: &mut RecoveredState) -> Result<Replayed> {
     let mut at = 0;
     let mut sync = 0;
     while at < bytes.len() {
@@ -275,7 +275,7 @@
     Ok(Replayed { length: at as u64, sync })
 }
 
-fn adopt(found: &mut Found, entries: Vec<Entry>) {
+fn adopt(found: &mut RecoveredState, entries: Vec<Entry>) {
     let Some(first) = entries.first().map(|e| e.index) else {
         return;
     };
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -21,7 +21,7 @@
     Persist::Snapshot(Snapshot { index, term, members: vec![], data: vec![9; 100] })
 }
 
-fn indexes(found: &Found) -> Vec<u64> {
+fn indexes(found: &RecoveredState) -> Vec<u64> {
     found.entries.iter().map(|e| e.index).collect()
 }
 
@@ -29,7 +29,7 @@
 fn what_was_written_is_found_again_under_the_same_identity() {
     let folder = TempDir::new().unwrap();
     let (mut disk, found) = Disk::open(folder.path()).unwrap();
-    assert_eq!(found, Found::default());
+    assert_eq!(found, RecoveredState::default());
     disk.write(&[hard(3), entries(1, 5, 3)]).unwrap();
     disk.write(&[entries(4, 6, 4)]).unwrap();
     let identity = disk.identity();
