--- a/src/registry/saved.rs
+++ b/src/registry/saved.rs
@@ -13,7 +13,7 @@
 
 use super::{EndpointState, Registration, SharedRegistry};
 use crate::error::{FileSnafu, Result};
-use crate::store::sealed;
+use crate::store::checksummed;
 use snafu::ResultExt;
 
 /// Name of the file in the data folder.
@@ -35,7 +35,7 @@
             return Vec::new();
         }
     };
-    match sealed::open(&bytes) {
+    match checksummed::decode(&bytes) {
         Some((FORMAT, endpoints)) => endpoints,
         _ => {
             let size = bytes.len();
@@ -51,7 +51,7 @@
 pub fn save(folder: &Path, endpoints: &[Registration]) -> Result<()> {
     let path = folder.join(FILE);
     let new = folder.join(format!("{FILE}.new"));
-    let bytes = sealed::seal(&(FORMAT, endpoints))?;
+    let bytes = checksummed::encode(&(FORMAT, endpoints))?;
     let mut file = File::create(&new).context(FileSnafu { path: &new })?;
     file.write_all(&bytes).context(FileSnafu { path: &new })?;
     file.sync_all().context(FileSnafu { path: &new })?;
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -137,7 +137,7 @@
 fn saved_endpoints_without_a_format_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let endpoints = vec![registration("a", 2, EndpointState::Ready)];
-    let unformatted = crate::store::sealed::seal(&endpoints).unwrap();
+    let unformatted = crate::store::checksummed::encode(&endpoints).unwrap();
     std::fs::write(folder.path().join("endpoints"), unformatted).unwrap();
     assert!(saved::load(folder.path()).is_empty());
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -4,9 +4,9 @@
 //! said. A torn tail, which a crash leaves, is cut; damage before the end stops
 //! the process with a clear error.
 
+pub(crate) mod checksummed;
 mod disk;
 mod record;
-pub(crate) mod sealed;
 #[cfg(test)]
 mod tests;
 mod writer;
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -8,8 +8,8 @@
 use rand::RngExt;
 use snafu::ResultExt;
 
+use super::checksummed;
 use super::record::{self, Item};
-use super::sealed;
 use crate::agree::{Entry, HardState, Persist, Snapshot, StoreId};
 use crate::error::{DamagedSnafu, Error, FileSnafu, LockedSnafu, Result};
 
@@ -156,7 +156,7 @@
     /// Puts a snapshot in place, then a log without the entries it covers. A
     /// crash between the two leaves covered entries, which opening skips.
     fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
-        let bytes = sealed::seal(snapshot)?;
+        let bytes = checksummed::encode(snapshot)?;
         self.replace(SNAPSHOT, &bytes)?;
         self.snapshot_bytes = bytes.len() as u64;
         let kept = self.entries_after(snapshot)?;
@@ -239,7 +239,7 @@
         return Ok((Snapshot::default(), 0));
     }
     let bytes = std::fs::read(path).context(FileSnafu { path })?;
-    match sealed::open(&bytes) {
+    match checksummed::decode(&bytes) {
         Some(snapshot) => Ok((snapshot, bytes.len() as u64)),
         None => DamagedSnafu { path, offset: 0u64 }.fail(),
     }
