--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -51,12 +51,12 @@
     let state = decode_state(&found.snapshot.data, found.snapshot.index)?;
     let applied = found.snapshot.index;
     let mut replica = Replica::new(now, store, found.hard, found.snapshot, found.entries, seed);
-    replica.set_most_voters(settings.most_voters());
+    replica.set_most_voters(settings.max_voters());
     let status = watch::Sender::new(Leadership::of(&replica));
     let leadership = status.subscribe();
     let driver = Driver {
         store,
-        most_voters: settings.most_voters(),
+        most_voters: settings.max_voters(),
         unsynced: VecDeque::new(),
         published,
         leadership: status,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -350,7 +350,7 @@
 
 impl ControlSettings {
     /// Voters at which the group is complete.
-    pub fn most_voters(&self) -> usize {
+    pub fn max_voters(&self) -> usize {
         2 * self.tolerated_losses + 1
     }
 
