--- a/src/control/found.rs
+++ b/src/control/found.rs
@@ -17,7 +17,7 @@
 
 /// Founds the group when this host is the first founder and all are empty.
 pub(super) async fn found(control: Arc<Control>) {
-    let (founders, addresses) = control.settings.founding();
+    let (founders, addresses) = control.settings.bootstrap_hosts();
     if founders.iter().min() != Some(&control.peers.me) {
         return;
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -355,7 +355,7 @@
     }
 
     /// The hosts that found the group, and where their peers reach them.
-    pub fn founding(&self) -> (Vec<HostId>, Vec<SocketAddr>) {
+    pub fn bootstrap_hosts(&self) -> (Vec<HostId>, Vec<SocketAddr>) {
         if !self.found_with_seeds {
             return (self.founders.clone(), self.control.clone());
         }
