--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -133,7 +133,7 @@
 ) -> Result<PendingAnswer, Attempt> {
     let Some(address) = endpoint.address else { return Err(Attempt::NotSent) };
     if !call.gateway.is_near(endpoint) {
-        call.gateway.metrics.across.with_label_values(&[&call.service]).inc();
+        call.gateway.metrics.sent_to_other_region.with_label_values(&[&call.service]).inc();
     }
     let tokens = call.prompt_tokens();
     let observation = ReleaseObservation::new(call, endpoint);
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -13,7 +13,7 @@
     /// Records that the endpoint closed the connection before the answer was complete: it
     /// crashed, or the connection failed.
     pub(super) fn record_lost_answer(&self, assignment: &Assignment, reason: &str) {
-        self.gateway.metrics.lost.with_label_values(&[&self.service]).inc();
+        self.gateway.metrics.lost_answers.with_label_values(&[&self.service]).inc();
         let since_sent = assignment.observation.since_sent();
         log::info!(
             "gateway: request {} ({}) lost at {}, started at {}, {} ms after it was sent: {reason}; \
--- a/src/telemetry/gateway.rs
+++ b/src/telemetry/gateway.rs
@@ -13,7 +13,7 @@
     /// Requests sent to one more endpoint, by service.
     pub retries: IntCounterVec,
     /// Requests whose endpoint ended their connection before the whole answer, by service.
-    pub lost: IntCounterVec,
+    pub lost_answers: IntCounterVec,
     /// What answers say of their endpoints, by service.
     pub notices: IntCounterVec,
     /// Checks of endpoints that started again, by service and outcome.
@@ -23,7 +23,7 @@
     /// Requests while a release is rolled out, by service, release and outcome.
     pub rollout_requests: IntCounterVec,
     /// Requests sent to an endpoint of another region, by service.
-    pub across: IntCounterVec,
+    pub sent_to_other_region: IntCounterVec,
     /// Callers' connections that other routers were asked to take, by their answer.
     pub handed_over: IntCounterVec,
     /// Seconds from arrival to the head of the answer, by service.
@@ -53,7 +53,7 @@
             registry: Registry::new(),
             outcomes: counter("requests_total", "Requests.", &["service", "outcome"])?,
             retries: counter("retries_total", "Requests sent again.", &["service"])?,
-            lost: counter("lost_answers_total", "Answers that broke off.", &["service"])?,
+            lost_answers: counter("lost_answers_total", "Answers that broke off.", &["service"])?,
             notices: counter(
                 "notices_total",
                 "Answers that say that their endpoint leaves or wants rest.",
@@ -70,7 +70,7 @@
                 "Requests by release during a roll-out.",
                 &["service", "release", "outcome"],
             )?,
-            across: counter(
+            sent_to_other_region: counter(
                 "sent_to_other_region_total",
                 "Requests sent to another region.",
                 &["service"],
@@ -84,12 +84,12 @@
         let registry = &metrics.registry;
         registry.register(Box::new(metrics.outcomes.clone()))?;
         registry.register(Box::new(metrics.retries.clone()))?;
-        registry.register(Box::new(metrics.lost.clone()))?;
+        registry.register(Box::new(metrics.lost_answers.clone()))?;
         registry.register(Box::new(metrics.notices.clone()))?;
         registry.register(Box::new(metrics.start_checks.clone()))?;
         registry.register(Box::new(metrics.resumed.clone()))?;
         registry.register(Box::new(metrics.rollout_requests.clone()))?;
-        registry.register(Box::new(metrics.across.clone()))?;
+        registry.register(Box::new(metrics.sent_to_other_region.clone()))?;
         registry.register(Box::new(metrics.handed_over.clone()))?;
         registry.register(Box::new(metrics.first_answer.clone()))?;
         registry.register(Box::new(metrics.routing_version.clone()))?;
