--- a/src/error.rs
+++ b/src/error.rs
@@ -46,7 +46,7 @@
     },
     /// A connection between hosts says nothing more: it may be dead.
     #[snafu(display("the connection fell silent"))]
-    Silent,
+    SilenceTimeout,
     /// A frame between processes could not be encoded or decoded.
     #[snafu(display("frame: {source}"))]
     Frame {
@@ -55,7 +55,7 @@
     },
     /// A peer speaks another version of the protocol between hosts.
     #[snafu(display("it speaks protocol {theirs}, this host {ours}"))]
-    OtherProtocol {
+    ProtocolMismatch {
         /// The peer's version, or how an older message begins.
         theirs: u8,
         /// This host's.
--- a/src/feed/subscribe/feeds.rs
+++ b/src/feed/subscribe/feeds.rs
@@ -68,7 +68,7 @@
         let before = delivered.load(Ordering::Relaxed);
         if let Err(error) = read_feed(&all, host, address, &delivered).await {
             log::warn!("feed: lost control host {host}: {error}");
-            if matches!(error, Error::Silent) {
+            if matches!(error, Error::SilenceTimeout) {
                 // Nobody may be told.
                 let _ = all.silent.send(host);
             }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -152,7 +152,7 @@
     }
 
     fn note_other_protocol(&self, error: &Error) {
-        if matches!(error, Error::OtherProtocol { .. }) {
+        if matches!(error, Error::ProtocolMismatch { .. }) {
             self.other_protocols.fetch_add(1, Ordering::Relaxed);
         }
     }
--- a/src/placement/client/session.rs
+++ b/src/placement/client/session.rs
@@ -96,7 +96,7 @@
     };
     let error = tokio::select! {
         error = reading => error,
-        () = cancellation.cancelled() => Error::Silent,
+        () = cancellation.cancelled() => Error::SilenceTimeout,
     };
     writing.abort();
     Err(error)
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -164,7 +164,7 @@
         self.limit = limit;
     }
 
-    /// From now on a read fails with [`Error::Silent`] once nothing has come for
+    /// From now on a read fails with [`Error::SilenceTimeout`] once nothing has come for
     /// [`SILENCE`].
     pub fn ends_when_silent(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
         let mut inner = TimeoutReader::new(self.inner);
@@ -348,7 +348,7 @@
 
 fn not_read(source: std::io::Error) -> Error {
     match source.kind() {
-        std::io::ErrorKind::TimedOut => Error::Silent,
+        std::io::ErrorKind::TimedOut => Error::SilenceTimeout,
         _ => net("read from a peer", source),
     }
 }
--- a/src/wire/protocol.rs
+++ b/src/wire/protocol.rs
@@ -21,7 +21,7 @@
         Some((&PROTOCOL, value)) => {
             postcard::from_bytes(value).map_err(|source| Error::Frame { source })
         }
-        Some((&theirs, _)) => Err(Error::OtherProtocol { theirs, ours: PROTOCOL }),
+        Some((&theirs, _)) => Err(Error::ProtocolMismatch { theirs, ours: PROTOCOL }),
         None => Err(Error::Frame { source: postcard::Error::DeserializeUnexpectedEnd }),
     }
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -72,7 +72,7 @@
     let later = [&[PROTOCOL + 1][..], &unversioned].concat();
     for other in [unversioned, later] {
         let read = decode_versioned::<ToDispatcher>(&other);
-        assert!(matches!(read, Err(Error::OtherProtocol { ours: PROTOCOL, .. })));
+        assert!(matches!(read, Err(Error::ProtocolMismatch { ours: PROTOCOL, .. })));
     }
     assert!(decode_versioned::<ToDispatcher>(&[]).is_err());
 }
@@ -105,6 +105,6 @@
     let (_a, b) = tokio::io::duplex(1 << 16);
     let started = tokio::time::Instant::now();
     let silent = FrameReader::new(b).ends_when_silent().next::<Vec<ToDispatcher>>().await;
-    assert!(matches!(silent, Err(Error::Silent)));
+    assert!(matches!(silent, Err(Error::SilenceTimeout)));
     assert_eq!(started.elapsed().as_secs_f64().round() as u64, SILENCE.as_secs());
 }
