--- a/src/demo.rs
+++ b/src/demo.rs
@@ -100,7 +100,7 @@
 async fn wait_ready(site: &Site) -> Result<()> {
     let up = async {
         for router in 0..site.routers {
-            let address = site.callers(router);
+            let address = site.router_address(router);
             while tokio::net::TcpStream::connect(address).await.is_err() {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
--- a/src/load/file.rs
+++ b/src/load/file.rs
@@ -154,7 +154,7 @@
     ) -> LoadFile {
         LoadFile {
             name: name.into(),
-            routers: (0..site.routers).map(|r| site.callers(r)).collect(),
+            routers: (0..site.routers).map(|r| site.router_address(r)).collect(),
             endpoints: (0..site.engines).map(|e| site.engine(e)).collect(),
             ledgers: (0..site.services).map(|s| site.service(s)).collect(),
             duration_s: seconds as f64,
--- a/src/site/plan.rs
+++ b/src/site/plan.rs
@@ -158,7 +158,7 @@
     }
 
     /// Where callers reach a router, from 0.
-    pub fn callers(&self, router: u16) -> SocketAddr {
+    pub fn router_address(&self, router: u16) -> SocketAddr {
         self.at(port::CALLERS, router)
     }
 
@@ -213,7 +213,7 @@
         let name = format!("router-{}", n + 1);
         RouterSettings {
             host: self.host(name, n + 1, n, self.at(port::ROUTER_PEER, n)),
-            listen: self.callers(n),
+            listen: self.router_address(n),
             operator: self.router_operator(n),
             platform: Some(self.platform()),
             dispatch: self.dispatch,
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -234,7 +234,7 @@
     }
 
     pub async fn wait_ready(&self, router: u16) {
-        let address = self.site.callers(router);
+        let address = self.site.router_address(router);
         until("a router takes requests", async || {
             tokio::net::TcpStream::connect(address).await.is_ok()
         })
--- a/tests/scenarios/steps.rs
+++ b/tests/scenarios/steps.rs
@@ -265,7 +265,7 @@
 async fn call(w: &mut FleetWorld, router: u16, request: Request<Body>) {
     // The platform's balancer sends nothing to a router that is not ready.
     w.fleet().wait_ready(router - 1).await;
-    let address = w.fleet().site.callers(router - 1);
+    let address = w.fleet().site.router_address(router - 1);
     let mut request = request;
     let path = request.uri().to_string();
     *request.uri_mut() = format!("http://{address}{path}").parse().unwrap();
