--- a/src/peer.rs
+++ b/src/peer.rs
@@ -88,7 +88,7 @@
         let udp = UdpSocket::bind(listen).await.with_context(|_| NetSnafu { what: what() })?;
         let incarnation = epoch_ms();
         let beat = Heartbeat {
-            host: settings.number(),
+            host: settings.host_id(),
             incarnation,
             role,
             hall: settings.hall.clone(),
@@ -101,7 +101,7 @@
         let table = Table::new(beat, settings.seed_peers(), settings.heartbeats);
         let first = Arc::new(table.view(0));
         let peers = Arc::new(Peers {
-            me: settings.number(),
+            me: settings.host_id(),
             address,
             incarnation,
             clock: Clock::start(),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -301,7 +301,7 @@
 
 impl HostSettings {
     /// The host's number: the one given, or its IPv4 address.
-    pub fn number(&self) -> HostId {
+    pub fn host_id(&self) -> HostId {
         match (self.id, self.peer) {
             (Some(id), _) => id,
             (None, SocketAddr::V4(peer)) => HostId::of(*peer.ip()),
@@ -360,7 +360,8 @@
             return (self.founders.clone(), self.control.clone());
         }
         let seeds = self.host.seed_peers();
-        let number = |seed: &SocketAddr| HostSettings { peer: *seed, ..self.host.clone() }.number();
+        let number =
+            |seed: &SocketAddr| HostSettings { peer: *seed, ..self.host.clone() }.host_id();
         (seeds.iter().map(number).collect(), seeds)
     }
 
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -299,9 +299,9 @@
     /// Every host's operator port with its number and data hall.
     pub fn hosts(&self) -> Vec<(SocketAddr, u32, String)> {
         let routers = (0..self.site.routers).map(|n| self.site.router(n));
-        let routers = routers.map(|r| (r.operator, r.host.number().0, r.host.hall));
+        let routers = routers.map(|r| (r.operator, r.host.host_id().0, r.host.hall));
         let controls = (0..self.site.controls).map(|n| self.site.control(n));
-        let controls = controls.map(|c| (c.operator, c.host.number().0, c.host.hall));
+        let controls = controls.map(|c| (c.operator, c.host.host_id().0, c.host.hall));
         routers.chain(controls).collect()
     }
 
--- a/tests/scenarios/steps.rs
+++ b/tests/scenarios/steps.rs
@@ -80,7 +80,7 @@
 #[when(regex = r"^control host (\d+) is let in again$")]
 async fn let_in(w: &mut FleetWorld, number: u16) {
     let fleet = w.fleet();
-    let host = fleet.site.control(number - 1).host.number().0;
+    let host = fleet.site.control(number - 1).host.host_id().0;
     until("the leader lets the store in", async || {
         let leader = fleet.leader().await;
         let operator = fleet.site.control_operator(leader - 1);
@@ -121,8 +121,8 @@
 async fn one_sided(w: &mut FleetWorld, from: u16, to: u16) {
     let fleet = w.fleet();
     let (from, to) = (fleet.site.router(from - 1), fleet.site.router(to - 1));
-    let cut_to = vec![to.host.number().0];
-    let cut_from = vec![from.host.number().0];
+    let cut_to = vec![to.host.host_id().0];
+    let cut_from = vec![from.host.host_id().0];
     fleet.rehearse(from.operator, proto::RehearseRequest { cut_to, ..Default::default() }).await;
     fleet.rehearse(to.operator, proto::RehearseRequest { cut_from, ..Default::default() }).await;
 }
