--- a/src/demo.rs
+++ b/src/demo.rs
@@ -128,7 +128,7 @@
     };
     let seats = LoadCustomer {
         service: site.plain.clone(),
-        path: Some(format!("{}/seat", site.once_path)),
+        path: Some(format!("{}/seat", site.run_once_path)),
         keyed: true,
         resend: 0.3,
         ..customer("market-traders", 2, Arrival::Open(20.0), 1.0, &[])
--- a/src/site/plan.rs
+++ b/src/site/plan.rs
@@ -50,7 +50,7 @@
     /// The plain service's name.
     pub plain: String,
     /// Path prefix of the plain service's calls that may not be repeated.
-    pub once_path: String,
+    pub run_once_path: String,
     /// Customers with their shares.
     pub customers: Vec<(String, u32)>,
     /// Routers.
@@ -97,7 +97,7 @@
             halls,
             model: model.into(),
             plain: plain.into(),
-            once_path: once.into(),
+            run_once_path: once.into(),
             customers,
             routers: 9,
             controls: 3,
@@ -303,7 +303,7 @@
                     &self.plain,
                     ServiceKind::Plain,
                     10_000,
-                    vec![RunOnceRule { method: "POST".into(), path: self.once_path.clone() }],
+                    vec![RunOnceRule { method: "POST".into(), path: self.run_once_path.clone() }],
                 ),
             ],
             customers: self.customers.iter().map(customer).collect(),
--- a/tests/scenarios/loads.rs
+++ b/tests/scenarios/loads.rs
@@ -23,7 +23,7 @@
 fn tickets(site: &Site, arrival: Arrival) -> LoadCustomer {
     LoadCustomer {
         service: site.plain.clone(),
-        path: Some(format!("{}/seat", site.once_path)),
+        path: Some(format!("{}/seat", site.run_once_path)),
         keyed: true,
         resend: 0.4,
         ..chat(site, "market-traders", 2, arrival, &[])
--- a/tests/scenarios/steps.rs
+++ b/tests/scenarios/steps.rs
@@ -294,7 +294,7 @@
 #[when(regex = r"^(\S+) buys seat (\S+) through router (\d+)$")]
 async fn buys(w: &mut FleetWorld, customer: String, seat: String, router: u16) {
     let site = &w.fleet().site;
-    let path = format!("/{}{}/{seat}", site.plain, site.once_path);
+    let path = format!("/{}{}/{seat}", site.plain, site.run_once_path);
     let mut request = post(&path, &customer, json!({"seat": seat}).to_string());
     request.headers_mut().insert(header::KEY, seat.parse().unwrap());
     call(w, router, request).await;
