--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -70,7 +70,7 @@
     };
     let mut hard = HardState::default();
     let mut entries = Vec::new();
-    for record in Replica::founding(vec![member]) {
+    for record in Replica::bootstrap_records(vec![member]) {
         match record {
             Persist::HardState(state) => hard = state,
             Persist::Entries(founding) => entries = founding,
--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -172,7 +172,7 @@
     }
 
     /// What must be on disk for a new group of `members` before any of them starts.
-    pub fn founding(members: Vec<GroupMember>) -> Vec<Persist> {
+    pub fn bootstrap_records(members: Vec<GroupMember>) -> Vec<Persist> {
         let hard = HardState { term: 1, voted_for: None };
         let entry = Entry { term: 1, index: 1, payload: Payload::Members(members) };
         vec![Persist::HardState(hard), Persist::Entries(vec![entry])]
@@ -252,7 +252,7 @@
     }
 
     /// Whether it belongs to a group already.
-    pub fn is_founded(&self) -> bool {
+    pub fn is_bootstrapped(&self) -> bool {
         !self.members.is_empty()
     }
 
--- a/src/agree/tests.rs
+++ b/src/agree/tests.rs
@@ -99,7 +99,7 @@
         };
         for id in 1..=size {
             let mut disk = Disk::default();
-            disk.write(&Replica::founding(members.clone()));
+            disk.write(&Replica::bootstrap_records(members.clone()));
             group.start(StoreId(id), disk);
         }
         group
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -10,11 +10,11 @@
 
 impl Driver {
     pub(super) fn found(&mut self, members: Vec<GroupMember>) -> Result<()> {
-        if self.replica.is_founded() {
+        if self.replica.is_bootstrapped() {
             return Ok(());
         }
         log::info!("control: founds the group with {} stores", members.len());
-        let records = Replica::founding(members);
+        let records = Replica::bootstrap_records(members);
         // The group begins with this job; until it is on disk nothing is promised.
         let job = self.disk.write(records.clone());
         let mut hard = HardState::default();
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -80,7 +80,7 @@
             leader: leader.map(|m| m.host),
             has_caught_up: replica.has_caught_up(),
             leads: replica.role() == Role::Leader,
-            founded: replica.is_founded(),
+            founded: replica.is_bootstrapped(),
             hosts: members.iter().map(|m| (m.host, m.peer)).collect(),
         }
     }
