--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -117,7 +117,7 @@
     members: Vec<GroupMember>,
     members_index: u64,
     durable: u64,
-    most_voters: usize,
+    max_voters: usize,
     votes: BTreeSet<StoreId>,
     progress: BTreeMap<StoreId, Progress>,
     reads: Vec<Read>,
@@ -155,7 +155,7 @@
             members,
             members_index,
             durable,
-            most_voters: usize::MAX,
+            max_voters: usize::MAX,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             reads: Vec::new(),
@@ -193,8 +193,8 @@
 
     /// With this many voters the group is complete: further stores follow
     /// without a vote until one is long silent.
-    pub fn set_most_voters(&mut self, most: usize) {
-        self.most_voters = most;
+    pub fn set_max_voters(&mut self, most: usize) {
+        self.max_voters = most;
     }
 
     /// Its role.
--- a/src/agree/replica/membership.rs
+++ b/src/agree/replica/membership.rs
@@ -70,7 +70,7 @@
         let voters = members.iter().filter(|m| m.voter).count();
         let leaves = match replaced {
             Some(old) => Some(old),
-            None if voters >= self.most_voters => match self.silent_voter(now) {
+            None if voters >= self.max_voters => match self.silent_voter(now) {
                 Some(silent) => Some(silent),
                 None => return,
             },
--- a/src/agree/tests.rs
+++ b/src/agree/tests.rs
@@ -540,7 +540,7 @@
     let leader = group.leader().unwrap();
     let now = group.now;
     let replica = group.stores.get_mut(&leader).unwrap().replica.as_mut().unwrap();
-    replica.set_most_voters(3);
+    replica.set_max_voters(3);
     let (joined, out) = replica.join(now, member(4, false, None)).unwrap();
     assert!(joined);
     group.carry_out(leader, out);
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -51,7 +51,7 @@
     let state = decode_state(&found.snapshot.data, found.snapshot.index)?;
     let applied = found.snapshot.index;
     let mut replica = Replica::new(now, store, found.hard, found.snapshot, found.entries, seed);
-    replica.set_most_voters(settings.most_voters());
+    replica.set_max_voters(settings.most_voters());
     let status = watch::Sender::new(Leadership::of(&replica));
     let leadership = status.subscribe();
     let driver = Driver {
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -30,7 +30,7 @@
         let seed = rand::rng().random();
         let none = Snapshot::default();
         self.replica = Replica::new(now, self.store, hard, none, entries, seed);
-        self.replica.set_most_voters(self.most_voters);
+        self.replica.set_max_voters(self.most_voters);
         let last_entry = self.replica.last_entry();
         self.unsynced.push_back(Unsynced { job, messages: Vec::new(), last_entry });
         Ok(())
