--- a/src/agree.rs
+++ b/src/agree.rs
@@ -14,4 +14,6 @@
 mod tests;
 
 pub use message::*;
-pub use replica::{ELECTION_MS, HEARTBEAT_MS, NotLeader, Output, Persist, Replica, Role, Status};
+pub use replica::{
+    HEARTBEAT_MS, MIN_ELECTION_TIMEOUT_MS, NotLeader, Output, Persist, Replica, Role, Status,
+};
--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -17,7 +17,7 @@
 pub const HEARTBEAT_MS: Millis = 100;
 /// Shortest silence of a leader after which a store stands for election; the
 /// longest is twice that.
-pub const ELECTION_MS: Millis = 700;
+pub const MIN_ELECTION_TIMEOUT_MS: Millis = 700;
 /// The same for the first attempt after a start, doubled with each further one:
 /// where all were stopped at once nobody leads, and where somebody does, a vote is
 /// not given. Two heartbeats of a leader fit in.
@@ -374,8 +374,8 @@
     /// Restarts the election timer, at random so that split votes end.
     fn rest(&mut self, now: Millis) {
         let least = match self.heard_leader {
-            Some(_) => ELECTION_MS,
-            None => (FIRST_ELECTION_MS << self.waits.min(4)).min(ELECTION_MS),
+            Some(_) => MIN_ELECTION_TIMEOUT_MS,
+            None => (FIRST_ELECTION_MS << self.waits.min(4)).min(MIN_ELECTION_TIMEOUT_MS),
         };
         self.waits += 1;
         self.election_at = now + self.rng.random_range(least..2 * least);
--- a/src/agree/replica/election.rs
+++ b/src/agree/replica/election.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{ELECTION_MS, HardState, Message, Millis, Payload, Replica, Role, StoreId};
+use super::{HardState, MIN_ELECTION_TIMEOUT_MS, Message, Millis, Payload, Replica, Role, StoreId};
 
 impl Replica {
     pub(super) fn stand(&mut self, now: Millis, pre: bool) {
@@ -54,7 +54,8 @@
 
     /// Whether a leader is known to be at work.
     pub(super) fn hears_leader(&self, now: Millis) -> bool {
-        self.role == Role::Leader || self.heard_leader.is_some_and(|at| now < at + ELECTION_MS)
+        self.role == Role::Leader
+            || self.heard_leader.is_some_and(|at| now < at + MIN_ELECTION_TIMEOUT_MS)
     }
 
     pub(super) fn voted(
--- a/src/agree/replica/membership.rs
+++ b/src/agree/replica/membership.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    ELECTION_MS, GroupMember, Millis, NotLeader, Output, Payload, Progress, Replica, Role, StoreId,
+    GroupMember, MIN_ELECTION_TIMEOUT_MS, Millis, NotLeader, Output, Payload, Progress, Replica,
+    Role, StoreId,
 };
 
 /// Milliseconds of silence after which a voter gives its place to a newcomer.
@@ -40,7 +41,7 @@
         let voters = self.members.iter().filter(|m| m.voter);
         let heard = voters.filter(|m| {
             let acked = self.progress.get(&m.store).map(|p| p.acked_at);
-            m.store == self.id || acked.is_some_and(|at| now < at + 2 * ELECTION_MS)
+            m.store == self.id || acked.is_some_and(|at| now < at + 2 * MIN_ELECTION_TIMEOUT_MS)
         });
         heard.count() >= self.majority()
     }
--- a/src/placement/tests/warmth.rs
+++ b/src/placement/tests/warmth.rs
@@ -1,7 +1,7 @@
 //! Engines that are cold.
 
 use super::*;
-use crate::agree::ELECTION_MS;
+use crate::agree::MIN_ELECTION_TIMEOUT_MS;
 use crate::placement::warmth::{ColdSender, Warmth};
 
 /// What the users' cold engines bear, and what their rule allows in any second.
@@ -151,7 +151,7 @@
     fn all_placers_together_send_a_cold_engine_what_it_bears(
         second in 3_000u64..6_000,
         third in 2_000u64..4_000,
-        unnoticed in 0..ELECTION_MS,
+        unnoticed in 0..MIN_ELECTION_TIMEOUT_MS,
         asked in proptest::collection::vec(0usize..3, 1_400),
     ) {
         let third = second + third;
--- a/src/placement/warmth.rs
+++ b/src/placement/warmth.rs
@@ -7,7 +7,7 @@
 
 use std::collections::VecDeque;
 
-use crate::agree::ELECTION_MS;
+use crate::agree::MIN_ELECTION_TIMEOUT_MS;
 use crate::dispatch::Millis;
 
 /// Milliseconds in which requests are counted: the rate is one of a second.
@@ -15,7 +15,7 @@
 /// Milliseconds for which a placer whose host has come to lead sends cold engines
 /// nothing: a window in which the one before may have sent them all that they bear, and
 /// the time for which that one may not have noticed that it leads no more.
-const TAKE_OVER_MS: Millis = WINDOW_MS as Millis + ELECTION_MS;
+const TAKE_OVER_MS: Millis = WINDOW_MS as Millis + MIN_ELECTION_TIMEOUT_MS;
 
 /// Which placer may send to cold engines.
 ///
