--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -239,7 +239,7 @@
 
     /// All that was handed out for persisting up to the entry `index` of `term`
     /// is on this store's disk. A leader counts itself only up to there.
-    pub fn synced(&mut self, index: u64, term: u64) -> Output {
+    pub fn record_synced(&mut self, index: u64, term: u64) -> Output {
         if self.log.term(index) == Some(term) && index > self.durable {
             self.durable = index;
             if self.role == Role::Leader {
--- a/src/agree/tests.rs
+++ b/src/agree/tests.rs
@@ -170,7 +170,7 @@
             let store = self.stores.get_mut(&id).unwrap();
             store.disk.write(&persist);
             self.network.extend(messages);
-            self.with(id, |replica, _| replica.synced(last.0, last.1));
+            self.with(id, |replica, _| replica.record_synced(last.0, last.1));
         }
     }
 
@@ -471,7 +471,7 @@
     let out = replica.read(elected.unwrap(), 5).unwrap();
     assert!(out.reads.is_empty(), "its own term has committed nothing yet");
     let (index, term) = replica.last_entry();
-    assert_eq!(replica.synced(index, term).reads, [5]);
+    assert_eq!(replica.record_synced(index, term).reads, [5]);
 }
 
 /// Stores that have started again know the leader before they know what was committed: what
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -133,7 +133,7 @@
         while let Some(unsynced) = self.unsynced.pop_front_if(|u| u.job <= job) {
             self.send_messages(unsynced.messages);
             let (index, term) = unsynced.last_entry;
-            let out = self.replica.synced(index, term);
+            let out = self.replica.record_synced(index, term);
             self.carry_out(out)?;
         }
         Ok(())
