--- a/src/claim.rs
+++ b/src/claim.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use client::Claims;
+pub use client::ClaimClient;
 pub use table::{
     ANSWER_KEPT_MS, Attempt, CLAIM_KEPT_MS, Claim, Claimed, MAX_KEPT_ANSWER, RecordedAnswer,
     Settlement, Table, fingerprint,
--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -27,19 +27,19 @@
 
 /// Asks the leader about claims; asks again where an answer was lost.
 #[derive(Clone, Debug)]
-pub struct Claims(mpsc::UnboundedSender<Asking>);
+pub struct ClaimClient(mpsc::UnboundedSender<Asking>);
 
-impl Claims {
+impl ClaimClient {
     /// Starts the connection's task; it connects at the first request.
-    pub fn start(peers: Arc<Peers>) -> Claims {
+    pub fn start(peers: Arc<Peers>) -> ClaimClient {
         let (sender, requests) = mpsc::unbounded_channel();
         let task = Task { peers, requests, open: BTreeMap::new(), next: 0, leader: None, turn: 0 };
         tokio::spawn(task.run());
-        Claims(sender)
+        ClaimClient(sender)
     }
 
     /// How a key stands, without claiming it; none when nobody says in time.
-    pub async fn look(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
+    pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
         match self.ask(claim, Ask::Look, limit).await? {
             Asked::Claimed(claimed) => Some(claimed),
             _ => None,
@@ -60,7 +60,7 @@
 
     /// Settles a claim and waits until that is taken, at most for `limit`; after
     /// it the settling goes on in the background.
-    pub async fn settled(&self, claim: Claim, settlement: Settlement, limit: Duration) {
+    pub async fn settle_and_wait(&self, claim: Claim, settlement: Settlement, limit: Duration) {
         let taken = self.settle(claim, settlement);
         let _ = tokio::time::timeout(limit, taken).await;
     }
--- a/src/claim/tests/client.rs
+++ b/src/claim/tests/client.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc;
 
-use super::super::{Claimed, Claims};
+use super::super::{ClaimClient, Claimed};
 use super::claim;
 use crate::control::{Asked, ClaimAnswer, ClaimRequest};
 use crate::peer::Incoming;
@@ -54,7 +54,7 @@
     let seeds = vec![peer_address(31), peer_address(32)];
     let (router, _) = start_peers(Role::Router, 33, seeds).await;
     wait_until(|| router.view().with_role(Role::Control).count() == 2).await;
-    let claims = Claims::start(router);
+    let claims = ClaimClient::start(router);
     let granted = Arc::new(AtomicUsize::new(0));
     for number in 0..100 {
         let (claims, count) = (claims.clone(), granted.clone());
--- a/src/router/once.rs
+++ b/src/router/once.rs
@@ -45,7 +45,7 @@
     if job.router.is_stale() {
         return Some(Outcome::NotRun(NotRunReason::NoMajority, RETRY_MS));
     }
-    let claimed = job.router.claims.look(claim, LOOK_LIMIT).await?;
+    let claimed = job.router.claims.lookup(claim, LOOK_LIMIT).await?;
     held(&job.router, claimed)
 }
 
@@ -123,5 +123,5 @@
         Attempt::NotSent | Attempt::Refused => Settlement::NotRun,
         Attempt::Unknown(_) => Settlement::Unknown,
     };
-    router.claims.settled(claim, settlement, SETTLE_LIMIT).await;
+    router.claims.settle_and_wait(claim, settlement, SETTLE_LIMIT).await;
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -14,7 +14,7 @@
 use super::notices::Heard;
 
 use crate::admission::Admission;
-use crate::claim::Claims;
+use crate::claim::ClaimClient;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
 use crate::delivery::{Caller, HttpClient, RetryBudget};
 use crate::feed::{Followed, Subscriptions};
@@ -54,7 +54,7 @@
     /// What control hosts tell.
     pub feeds: Arc<Subscriptions>,
     /// Claims of calls that may not be repeated.
-    pub claims: Claims,
+    pub claims: ClaimClient,
     /// Begins a planned stop.
     pub stop: CancellationToken,
     /// What endpoints said of themselves in their answers.
@@ -91,7 +91,7 @@
             trace.clone(),
             divisor,
         );
-        let claims = Claims::start(peers.clone());
+        let claims = ClaimClient::start(peers.clone());
         let followed = Followed::default();
         let guard = Arc::new(CrashGuard::new(followed.quarantine.clone(), peers.me, peers.clock));
         let hall = settings.host.hall.clone();
