--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use bramblecrank::agree::{Entry, Payload, Persist};
-use bramblecrank::claim::{Attempt, Claim, Settlement, Table};
+use bramblecrank::claim::{Attempt, Claim, ClaimTable, Settlement};
 use bramblecrank::config::{
     Change, Config, Customer, CustomerId, Document, Endpoint, HallSet, History, ServiceId,
 };
@@ -222,7 +222,7 @@
 fn claims() {
     title("Claims: size and processor time");
     for count in [1_000u64, 10_000, 100_000] {
-        let mut table = Table::default();
+        let mut table = ClaimTable::default();
         let start = Instant::now();
         for n in 0..count {
             table.claim(n, &claim(n));
--- a/src/claim/table.rs
+++ b/src/claim/table.rs
@@ -105,7 +105,7 @@
 
 /// All claims of the last [`CLAIM_KEPT_MS`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Table {
+pub struct ClaimTable {
     held: HashMap<u128, Held>,
     /// Claims by age, for forgetting answers and then keys.
     answers_by_age: VecDeque<(u64, u128)>,
@@ -113,7 +113,7 @@
     newest_ms: u64,
 }
 
-impl Table {
+impl ClaimTable {
     /// Claims held.
     pub fn len(&self) -> usize {
         self.held.len()
@@ -140,7 +140,7 @@
     }
 
     /// How a key stands, without claiming it; none when nobody holds it.
-    pub fn look(&self, claim: &Claim) -> Option<Claimed> {
+    pub fn lookup(&self, claim: &Claim) -> Option<Claimed> {
         let held = self.held.get(&id_of(claim.customer, &claim.key))?;
         Some(held.answer(claim))
     }
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_second_claim_gets_the_recorded_answer() {
-    let mut table = Table::default();
+    let mut table = ClaimTable::default();
     assert_eq!(table.claim(0, &claim(1, "k")), Claimed::Granted);
     assert_eq!(table.claim(1, &claim(2, "k")), Claimed::Running(claim(1, "k").attempt));
     table.settle(2, &claim(1, "k"), Settlement::Answered(Some(answer("seat 4"))));
@@ -30,14 +30,14 @@
 
 #[test]
 fn a_claim_resent_by_its_own_attempt_is_granted_again() {
-    let mut table = Table::default();
+    let mut table = ClaimTable::default();
     assert_eq!(table.claim(0, &claim(1, "k")), Claimed::Granted);
     assert_eq!(table.claim(0, &claim(1, "k")), Claimed::Granted);
 }
 
 #[test]
 fn only_the_holder_can_free_a_key() {
-    let mut table = Table::default();
+    let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     table.settle(0, &claim(2, "k"), Settlement::NotRun);
     assert_eq!(table.claim(0, &claim(2, "k")), Claimed::Running(claim(1, "k").attempt));
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_key_used_for_another_call_is_refused() {
-    let mut table = Table::default();
+    let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     let other = Claim { fingerprint: 8, ..claim(2, "k") };
     assert_eq!(table.claim(0, &other), Claimed::OtherCall);
@@ -55,7 +55,7 @@
 
 #[test]
 fn answers_are_forgotten_before_keys() {
-    let mut table = Table::default();
+    let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     table.settle(0, &claim(1, "k"), Settlement::Answered(Some(answer("a"))));
     assert_eq!(table.claim(ANSWER_KEPT_MS, &claim(2, "k")), Claimed::Answered(None));
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_clock_that_runs_backwards_frees_nothing() {
-    let mut table = Table::default();
+    let mut table = ClaimTable::default();
     table.claim(CLAIM_KEPT_MS, &claim(1, "k"));
     table.claim(0, &claim(5, "other"));
     assert_ne!(table.claim(CLAIM_KEPT_MS + 1, &claim(2, "k")), Claimed::Granted);
@@ -94,7 +94,7 @@
     /// two grants to different attempts, the first said that it did not run.
     #[test]
     fn a_key_is_never_granted_twice_unless_freed(steps in proptest::collection::vec(step(), 0..80)) {
-        let mut table = Table::default();
+        let mut table = ClaimTable::default();
         let mut holder: [Option<u64>; 3] = [None; 3];
         for step in steps {
             match step {
--- a/src/control/legacy.rs
+++ b/src/control/legacy.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use super::state::{self, Changed};
-use crate::claim::{Claim, Settlement, Table};
+use crate::claim::{Claim, ClaimTable, Settlement};
 use crate::config::{Change, History};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::region::AllowedRegions;
@@ -30,7 +30,7 @@
     history: History,
     operations: HashMap<String, Changed>,
     operations_by_age: VecDeque<String>,
-    claims: Table,
+    claims: ClaimTable,
 }
 
 impl Changes {
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -145,7 +145,7 @@
     let ClaimRequest { claim, ask, .. } = request;
     let command = match ask {
         Ask::Look => {
-            let look = control.handle.look(move |state| state.claims().look(&claim)).await;
+            let look = control.handle.look(move |state| state.claims().lookup(&claim)).await;
             return match look {
                 Ok(Some(claimed)) => Asked::Claimed(claimed),
                 Ok(None) => Asked::Free,
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{Claim, Claimed, Settlement, Table};
+use crate::claim::{Claim, ClaimTable, Claimed, Settlement};
 use crate::config::{Change, History, Refusal};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::registry::DrainedHalls;
@@ -96,7 +96,7 @@
     pub(super) history: History,
     pub(super) operations: HashMap<String, Changed>,
     pub(super) operations_by_age: VecDeque<String>,
-    pub(super) claims: Table,
+    pub(super) claims: ClaimTable,
     pub(super) document: Option<Arc<Document>>,
     pub(super) drained: DrainedHalls,
     pub(super) rollouts: Rollouts,
@@ -110,7 +110,7 @@
     }
 
     /// The claims.
-    pub fn claims(&self) -> &Table {
+    pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
--- a/src/control/tests/format.rs
+++ b/src/control/tests/format.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::*;
-use crate::claim::{Attempt, Claim, Claimed, Settlement, Table};
+use crate::claim::{Attempt, Claim, ClaimTable, Claimed, Settlement};
 use crate::config::{CustomerId, History};
 use crate::control::format::{decode_command, decode_state, encode_command, encode_state};
 use crate::error::Error;
@@ -24,7 +24,7 @@
     history: History,
     operations: HashMap<String, Changed>,
     operations_by_age: VecDeque<String>,
-    claims: Table,
+    claims: ClaimTable,
     document: Option<Arc<OldDocument<OldRoute, OldCustomer>>>,
     drained: OldDrained,
 }
@@ -35,7 +35,7 @@
     history: History,
     operations: HashMap<String, Changed>,
     operations_by_age: VecDeque<String>,
-    claims: Table,
+    claims: ClaimTable,
     document: Option<Arc<OldDocument<Route, CustomerKeys>>>,
     drained: DrainedHalls,
     rollouts: Rollouts,
@@ -48,7 +48,7 @@
     history: History,
     operations: HashMap<String, Changed>,
     operations_by_age: VecDeque<String>,
-    claims: Table,
+    claims: ClaimTable,
     document: Option<Arc<OldDocument<Route, CustomerKeys>>>,
     drained: DrainedHalls,
     rollouts: Rollouts,
