--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::table::{Claim, Claimed, Settlement};
+use super::table::{Claim, ClaimOutcome, Settlement};
 use crate::control::{Ask, Asked, ClaimAnswer, ClaimRequest};
 use crate::peer::Peers;
 use crate::wire::{BatchWriter, Heartbeat, HostId, Open, Role};
@@ -39,7 +39,7 @@
     }
 
     /// How a key stands, without claiming it; none when nobody says in time.
-    pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
+    pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
         match self.ask(claim, Ask::Look, limit).await? {
             Asked::Claimed(claimed) => Some(claimed),
             _ => None,
@@ -48,7 +48,7 @@
 
     /// Claims a key. None when the claim was not decided in time; it is then
     /// given back in the background, and its call must not run.
-    pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
+    pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
         match self.ask(claim.clone(), Ask::Claim, limit).await {
             Some(Asked::Claimed(claimed)) => Some(claimed),
             _ => {
--- a/src/claim/table.rs
+++ b/src/claim/table.rs
@@ -63,7 +63,7 @@
 
 /// What a claim gets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The router may run the call.
     Granted,
     /// Another attempt holds it.
@@ -90,15 +90,15 @@
 }
 
 impl Held {
-    fn answer(&self, claim: &Claim) -> Claimed {
+    fn answer(&self, claim: &Claim) -> ClaimOutcome {
         if self.fingerprint != claim.fingerprint {
-            return Claimed::OtherCall;
+            return ClaimOutcome::OtherCall;
         }
         match &self.state {
-            State::Running(attempt) if *attempt == claim.attempt => Claimed::Granted,
-            State::Running(attempt) => Claimed::Running(*attempt),
-            State::Answered(answer) => Claimed::Answered(answer.clone()),
-            State::Unknown => Claimed::Unknown,
+            State::Running(attempt) if *attempt == claim.attempt => ClaimOutcome::Granted,
+            State::Running(attempt) => ClaimOutcome::Running(*attempt),
+            State::Answered(answer) => ClaimOutcome::Answered(answer.clone()),
+            State::Unknown => ClaimOutcome::Unknown,
         }
     }
 }
@@ -125,7 +125,7 @@
     }
 
     /// Claims a key at `at_ms`, the leader's wall clock.
-    pub fn claim(&mut self, at_ms: u64, claim: &Claim) -> Claimed {
+    pub fn claim(&mut self, at_ms: u64, claim: &Claim) -> ClaimOutcome {
         self.forget(at_ms);
         let id = id_of(claim.customer, &claim.key);
         let Some(held) = self.held.get(&id) else {
@@ -134,13 +134,13 @@
             self.held.insert(id, Held { fingerprint, state });
             self.answers_by_age.push_back((self.newest_ms, id));
             self.keys_by_age.push_back((self.newest_ms, id));
-            return Claimed::Granted;
+            return ClaimOutcome::Granted;
         };
         held.answer(claim)
     }
 
     /// How a key stands, without claiming it; none when nobody holds it.
-    pub fn lookup(&self, claim: &Claim) -> Option<Claimed> {
+    pub fn lookup(&self, claim: &Claim) -> Option<ClaimOutcome> {
         let held = self.held.get(&id_of(claim.customer, &claim.key))?;
         Some(held.answer(claim))
     }
--- a/src/router/once.rs
+++ b/src/router/once.rs
@@ -8,7 +8,8 @@
 use super::serve::Job;
 use super::state::Router;
 use crate::claim::{
-    Attempt as Claimant, Claim, Claimed, MAX_KEPT_ANSWER, RecordedAnswer, Settlement, fingerprint,
+    Attempt as Claimant, Claim, ClaimOutcome, MAX_KEPT_ANSWER, RecordedAnswer, Settlement,
+    fingerprint,
 };
 use crate::delivery::{Answer, Attempt, NotRunReason, Outcome, UnknownReason, header};
 
@@ -69,18 +70,18 @@
 }
 
 /// What a caller is told of a key that is held; none when it was granted.
-fn held(router: &Router, claimed: Claimed) -> Option<Outcome> {
+fn held(router: &Router, claimed: ClaimOutcome) -> Option<Outcome> {
     match claimed {
-        Claimed::Granted => None,
-        Claimed::Running(holder) => Some(match is_live(router, holder) {
+        ClaimOutcome::Granted => None,
+        ClaimOutcome::Running(holder) => Some(match is_live(router, holder) {
             true => Outcome::Running(RETRY_MS),
             // The holder is gone without a word: the call may have run.
             false => Outcome::Unknown(UnknownReason::Earlier),
         }),
-        Claimed::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
-        Claimed::Answered(None) => Some(Outcome::AnsweredBefore),
-        Claimed::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
-        Claimed::OtherCall => Some(Outcome::Bad(
+        ClaimOutcome::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
+        ClaimOutcome::Answered(None) => Some(Outcome::AnsweredBefore),
+        ClaimOutcome::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
+        ClaimOutcome::OtherCall => Some(Outcome::Bad(
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("the {} was used for another call", header::KEY),
         )),
