--- a/src/claim.rs
+++ b/src/claim.rs
@@ -11,6 +11,6 @@
 
 pub use client::ClaimClient;
 pub use table::{
-    ANSWER_KEPT_MS, Attempt, CLAIM_KEPT_MS, Claim, ClaimOutcome, ClaimTable, MAX_KEPT_ANSWER,
-    RecordedAnswer, Settlement, fingerprint,
+    ANSWER_RETENTION_MS, Attempt, CLAIM_RETENTION_MS, Claim, ClaimOutcome, ClaimTable,
+    MAX_RECORDED_ANSWER_BYTES, RecordedAnswer, Settlement, fingerprint,
 };
--- a/src/claim/table.rs
+++ b/src/claim/table.rs
@@ -9,11 +9,11 @@
 use crate::wire::HostId;
 
 /// Milliseconds for which a claim is remembered.
-pub const CLAIM_KEPT_MS: u64 = 24 * 3_600_000;
+pub const CLAIM_RETENTION_MS: u64 = 24 * 3_600_000;
 /// Milliseconds for which a recorded answer is kept with it.
-pub const ANSWER_KEPT_MS: u64 = 3_600_000;
+pub const ANSWER_RETENTION_MS: u64 = 3_600_000;
 /// The largest answer that is recorded, in bytes.
-pub const MAX_KEPT_ANSWER: usize = 16 << 10;
+pub const MAX_RECORDED_ANSWER_BYTES: usize = 16 << 10;
 
 /// One router's attempt to run a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -103,7 +103,7 @@
     }
 }
 
-/// All claims of the last [`CLAIM_KEPT_MS`].
+/// All claims of the last [`CLAIM_RETENTION_MS`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTable {
     held: HashMap<u128, Held>,
@@ -172,13 +172,13 @@
         let expired = |age: &VecDeque<(u64, u128)>, kept: u64| {
             age.front().is_some_and(|(at, _)| at + kept <= self.newest_ms)
         };
-        while expired(&self.answers_by_age, ANSWER_KEPT_MS) {
+        while expired(&self.answers_by_age, ANSWER_RETENTION_MS) {
             let Some((_, id)) = self.answers_by_age.pop_front() else { break };
             if let Some(Held { state: State::Answered(answer), .. }) = self.held.get_mut(&id) {
                 *answer = None;
             }
         }
-        while expired(&self.keys_by_age, CLAIM_KEPT_MS) {
+        while expired(&self.keys_by_age, CLAIM_RETENTION_MS) {
             let Some((_, id)) = self.keys_by_age.pop_front() else { break };
             self.held.remove(&id);
         }
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -58,16 +58,16 @@
     let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     table.settle(0, &claim(1, "k"), Settlement::Answered(Some(answer("a"))));
-    assert_eq!(table.claim(ANSWER_KEPT_MS, &claim(2, "k")), ClaimOutcome::Answered(None));
-    assert_eq!(table.claim(CLAIM_KEPT_MS, &claim(2, "k")), ClaimOutcome::Granted);
+    assert_eq!(table.claim(ANSWER_RETENTION_MS, &claim(2, "k")), ClaimOutcome::Answered(None));
+    assert_eq!(table.claim(CLAIM_RETENTION_MS, &claim(2, "k")), ClaimOutcome::Granted);
 }
 
 #[test]
 fn a_clock_that_runs_backwards_frees_nothing() {
     let mut table = ClaimTable::default();
-    table.claim(CLAIM_KEPT_MS, &claim(1, "k"));
+    table.claim(CLAIM_RETENTION_MS, &claim(1, "k"));
     table.claim(0, &claim(5, "other"));
-    assert_ne!(table.claim(CLAIM_KEPT_MS + 1, &claim(2, "k")), ClaimOutcome::Granted);
+    assert_ne!(table.claim(CLAIM_RETENTION_MS + 1, &claim(2, "k")), ClaimOutcome::Granted);
 }
 
 #[derive(Clone, Debug)]
--- a/src/router/once.rs
+++ b/src/router/once.rs
@@ -8,8 +8,8 @@
 use super::serve::Job;
 use super::state::Router;
 use crate::claim::{
-    Attempt as Claimant, Claim, ClaimOutcome, MAX_KEPT_ANSWER, RecordedAnswer, Settlement,
-    fingerprint,
+    Attempt as Claimant, Claim, ClaimOutcome, MAX_RECORDED_ANSWER_BYTES, RecordedAnswer,
+    Settlement, fingerprint,
 };
 use crate::delivery::{Answer, Attempt, NotRunReason, Outcome, UnknownReason, header};
 
@@ -113,7 +113,7 @@
     let settlement = match attempt {
         Attempt::Answered(Answer::Whole(response)) => {
             let body = response.body();
-            let small = body.len() <= MAX_KEPT_ANSWER;
+            let small = body.len() <= MAX_RECORDED_ANSWER_BYTES;
             Settlement::Answered(small.then(|| RecordedAnswer {
                 status: response.status().as_u16(),
                 content_type: header::text(response.headers(), "content-type").map(String::from),
