--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -14,7 +14,7 @@
 };
 use bramblecrank::control::{Command, State};
 use bramblecrank::dispatch::{Decision, Dispatcher};
-use bramblecrank::member::Table as Members;
+use bramblecrank::member::MemberTable as Members;
 use bramblecrank::quarantine::{
     CrashAnalysis, CrashReport, Fingerprint, Observation, ObservedEvent, QuarantineState,
     Quarantines, Verdict,
--- a/src/member.rs
+++ b/src/member.rs
@@ -4,4 +4,4 @@
 #[cfg(test)]
 mod tests;
 
-pub use table::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Member, SUSPECT_MS, Table, View};
+pub use table::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Member, MemberTable, SUSPECT_MS, View};
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -79,7 +79,7 @@
 
 /// All hosts heard of.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct MemberTable {
     me: Heartbeat,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostId, Member>,
@@ -89,10 +89,10 @@
     scope: HeartbeatScope,
 }
 
-impl Table {
+impl MemberTable {
     /// A table that knows only this host and where to look for others.
-    pub fn new(me: Heartbeat, seeds: Vec<SocketAddr>, scope: HeartbeatScope) -> Table {
-        Table {
+    pub fn new(me: Heartbeat, seeds: Vec<SocketAddr>, scope: HeartbeatScope) -> MemberTable {
+        MemberTable {
             me,
             seeds,
             members: BTreeMap::new(),
--- a/src/member/tests.rs
+++ b/src/member/tests.rs
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_silent_host_is_suspected_and_comes_back() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 1)));
     assert_eq!(table.view(SUSPECT_MS - 1).live.len(), 2);
     let view = table.view(SUSPECT_MS);
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_late_heartbeat_of_an_earlier_incarnation_is_ignored() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 9)));
     table.heard(5, FROM, Beat::Whole(Heartbeat { draining: true, ..beat(2, 8) }));
     assert!(!table.view(5).get(HostId(2)).unwrap().draining);
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_host_that_starts_again_after_its_clock_was_set_back_is_heard() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 9)));
     table.heard(SUSPECT_MS, FROM, Beat::Whole(beat(2, 8)));
     assert_eq!(table.view(SUSPECT_MS).get(HostId(2)).unwrap().incarnation, 8);
@@ -57,11 +57,11 @@
 #[test]
 fn routers_may_exchange_heartbeats_with_control_hosts_only() {
     let control = |host| Heartbeat { role: Role::Control, ..beat(host, 1) };
-    let mut router = Table::new(beat(1, 1), vec![], HeartbeatScope::Control);
+    let mut router = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::Control);
     router.heard(0, FROM, Beat::Whole(beat(2, 1)));
     router.heard(0, FROM, Beat::Whole(control(3)));
     assert_eq!(router.beat().1, [beat(3, 1).peer]);
-    let mut other = Table::new(control(3), vec![], HeartbeatScope::Control);
+    let mut other = MemberTable::new(control(3), vec![], HeartbeatScope::Control);
     other.heard(0, FROM, Beat::Whole(beat(2, 1)));
     other.heard(0, FROM, Beat::Whole(control(4)));
     assert_eq!(other.beat().1, [beat(2, 1).peer, beat(4, 1).peer]);
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_draining_router_does_not_dispatch() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 1)));
     let service = ServiceId(0);
     let first = table.view(0).dispatcher(service).unwrap().host;
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_host_that_refused_a_connection_is_avoided_though_it_beats() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 1)));
     table.avoid(0, HostId(2));
     table.heard(10, FROM, Beat::Whole(beat(2, 1)));
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_restarted_host_is_not_avoided() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 1)));
     table.avoid(0, HostId(2));
     table.heard(10, FROM, Beat::Whole(beat(2, 2)));
@@ -104,7 +104,7 @@
 
 #[test]
 fn newcomers_spread_through_other_members() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     let also = Some(beat(3, 1).peer);
     table.heard(0, FROM, Beat::Whole(Heartbeat { also, ..beat(2, 1) }));
     assert!(table.beat().1.contains(&beat(3, 1).peer));
@@ -116,7 +116,7 @@
 
 #[test]
 fn brief_heartbeats_keep_a_known_host_live_and_say_its_version() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 1)));
     table.heard(SUSPECT_MS, FROM, brief(2, 1, 7));
     assert_eq!(table.view(SUSPECT_MS).get(HostId(2)).unwrap().version, 7);
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_brief_heartbeat_of_a_stranger_or_another_incarnation_is_answered_by_a_question() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     let question = Some((FROM, Beat::Ask(beat(1, 1))));
     assert_eq!(table.heard(0, FROM, brief(2, 1, 7)), question);
     assert!(table.view(0).get(HostId(2)).is_none());
@@ -137,7 +137,7 @@
 
 #[test]
 fn who_is_not_known_introduces_itself_when_asked() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::Control);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::Control);
     let control = Heartbeat { role: Role::Control, ..beat(2, 1) };
     for now in [0, 1] {
         let answer = table.heard(now, FROM, Beat::Ask(control.clone()));
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_newcomer_is_told_the_whole_at_the_next_heartbeat() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.heard(0, FROM, Beat::Whole(beat(2, 1)));
     assert!(matches!(table.beat().0, Beat::Whole(_)));
     while matches!(table.beat().0, Beat::Whole(_)) {}
@@ -179,10 +179,10 @@
 
 #[test]
 fn a_newcomer_is_introduced_to_once_for_each_start() {
-    let mut old = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    let mut new = Table::new(beat(2, 1), vec![], HeartbeatScope::All);
+    let mut old = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
+    let mut new = MemberTable::new(beat(2, 1), vec![], HeartbeatScope::All);
     assert!(new.is_alone());
-    let answer = |to: Heartbeat, answer: &Table| Some((to.peer, answer.introduction()));
+    let answer = |to: Heartbeat, answer: &MemberTable| Some((to.peer, answer.introduction()));
     assert_eq!(old.heard(0, FROM, new.introduction()), answer(beat(2, 1), &old));
     assert_eq!(new.heard(0, FROM, old.introduction()), answer(beat(1, 1), &new));
     assert!(!new.is_alone());
@@ -193,6 +193,6 @@
 
 #[test]
 fn routers_that_exchange_no_heartbeats_do_not_introduce_themselves() {
-    let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::Control);
+    let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::Control);
     assert_eq!(table.heard(0, FROM, Beat::Whole(beat(2, 1))), None);
 }
--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use super::super::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Table};
+use super::super::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, MemberTable};
 use crate::dispatch::Millis;
 use crate::settings::HeartbeatScope;
 use crate::wire::{Beat, Heartbeat, HostId, Role};
@@ -16,7 +16,7 @@
 
 /// A process that runs.
 struct Process {
-    table: Table,
+    table: MemberTable,
     next_beat: Millis,
     pause: Millis,
 }
@@ -89,7 +89,7 @@
             also: None,
         };
         let seeds = self.control_numbers().map(address).collect();
-        let table = Table::new(me, seeds, HeartbeatScope::Control);
+        let table = MemberTable::new(me, seeds, HeartbeatScope::Control);
         let process = Process { table, next_beat: self.now, pause: FIRST_HEARTBEAT_MS };
         self.processes.insert(host, process);
     }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::{Clock, epoch_ms};
 use crate::error::{Error, NetSnafu, Result};
-use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Table, View};
+use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, MemberTable, View};
 use crate::settings::HostSettings;
 use crate::wire::{
     Beat, FrameReader, Heartbeat, HostId, Open, Role, SentBytes, Traffic, UDP_HEADER,
@@ -68,7 +68,7 @@
     pub links: Links,
     /// Control bytes sent to other hosts.
     pub sent: SentBytes,
-    table: Mutex<Table>,
+    table: Mutex<MemberTable>,
     view: watch::Sender<Arc<View>>,
     other_protocols: AtomicU64,
     unreadable: AtomicU64,
@@ -98,7 +98,7 @@
             draining: false,
             also: None,
         };
-        let table = Table::new(beat, settings.seed_peers(), settings.heartbeats);
+        let table = MemberTable::new(beat, settings.seed_peers(), settings.heartbeats);
         let first = Arc::new(table.view(0));
         let peers = Arc::new(Peers {
             me: settings.number(),
@@ -138,7 +138,7 @@
 
     /// This host is in a planned stop.
     pub fn set_draining(&self) {
-        self.with_table(Table::set_draining);
+        self.with_table(MemberTable::set_draining);
     }
 
     /// Brief heartbeats of hosts that have not said the whole, since the start.
@@ -192,7 +192,7 @@
         Ok((FrameReader::new(BufReader::new(read)), write))
     }
 
-    fn with_table<T>(&self, f: impl FnOnce(&mut Table) -> T) -> T {
+    fn with_table<T>(&self, f: impl FnOnce(&mut MemberTable) -> T) -> T {
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let result = f(&mut table);
         drop(table);
