--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -164,7 +164,7 @@
     for hosts in [10u32, 50, 200, 340] {
         let mut table = Members::new(beat(0), vec![], Default::default());
         for host in 1..hosts {
-            table.heard(0, beat(host).peer, Beat::Whole(beat(host)));
+            table.on_heartbeat(0, beat(host).peer, Beat::Whole(beat(host)));
         }
         let start = Instant::now();
         for round in 0..200 {
@@ -172,7 +172,7 @@
                 let host = HostId(h);
                 let incarnation = 1_796_205_361_634;
                 let brief = Beat::Brief { host, incarnation, version: 1, draining: false };
-                table.heard(round, beat(h).peer, brief);
+                table.on_heartbeat(round, beat(h).peer, brief);
             }
         }
         let beats = f64::from(hosts - 1) * 200.0;
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -122,7 +122,7 @@
     /// Returns what to answer at once, and where: this host introduces itself to
     /// whoever has just started or does not know it, and asks for the whole where a
     /// brief one says nothing.
-    pub fn heard(
+    pub fn on_heartbeat(
         &mut self,
         now: Millis,
         from: SocketAddr,
@@ -130,8 +130,8 @@
     ) -> Option<(SocketAddr, Beat)> {
         match beat {
             Beat::Whole(beat) => {
-                let newcomer = self.heard_whole(now, beat)?;
-                Some((newcomer, self.introduction()))
+                let newcomer = self.on_full_heartbeat(now, beat)?;
+                Some((newcomer, self.full_heartbeat()))
             }
             Beat::Brief { host, incarnation, version, draining } => {
                 let known = self.members.get_mut(&host);
@@ -146,15 +146,15 @@
             }
             Beat::Ask(beat) => {
                 let asker = beat.peer;
-                self.heard_whole(now, beat);
-                Some((asker, self.introduction()))
+                self.on_full_heartbeat(now, beat);
+                Some((asker, self.full_heartbeat()))
             }
         }
     }
 
     /// Returns the address of a host that has just started, if this one exchanges
     /// heartbeats with it.
-    fn heard_whole(&mut self, now: Millis, beat: Heartbeat) -> Option<SocketAddr> {
+    fn on_full_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> Option<SocketAddr> {
         if beat.host == self.me.host {
             return None;
         }
@@ -189,7 +189,7 @@
     }
 
     /// What introduces this host to a newcomer.
-    pub fn introduction(&self) -> Beat {
+    pub fn full_heartbeat(&self) -> Beat {
         Beat::Whole(self.me.clone())
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// What to send now, and to whom.
-    pub fn beat(&mut self) -> (Beat, Vec<SocketAddr>) {
+    pub fn next_heartbeat(&mut self) -> (Beat, Vec<SocketAddr>) {
         let hears = |m: &&Member| self.exchanges_with(m.beat.role);
         let others = self.members.values().filter(hears);
         let mut targets: Vec<_> = others.map(|m| m.beat.peer).collect();
--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -113,7 +113,7 @@
         while let Some(datagram) = self.in_flight.pop_front_if(|d| d.arrives <= self.now) {
             let to = u32::from(datagram.to.port()) - 7_000;
             let Some(process) = self.processes.get_mut(&to) else { continue };
-            let answer = process.table.heard(self.now, datagram.from, datagram.beat);
+            let answer = process.table.on_heartbeat(self.now, datagram.from, datagram.beat);
             if let Some((answer_to, beat)) = answer {
                 self.send(address(to), answer_to, beat);
             }
@@ -129,7 +129,7 @@
                 continue;
             }
             process.table.tick(now);
-            let (beat, targets) = process.table.beat();
+            let (beat, targets) = process.table.next_heartbeat();
             let alone = process.table.is_alone();
             process.next_beat = now + process.pause;
             process.pause =
@@ -155,7 +155,7 @@
     /// Whether `host` takes the present process of `other` for live.
     pub fn knows(&self, host: u32, other: u32) -> bool {
         let view = self.processes[&host].table.view(self.now);
-        let Beat::Whole(present) = self.processes[&other].table.introduction() else {
+        let Beat::Whole(present) = self.processes[&other].table.full_heartbeat() else {
             panic!("an introduction says the whole");
         };
         view.get(HostId(other)).is_some_and(|m| m.incarnation == present.incarnation)
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -237,7 +237,7 @@
         let now = peers.clock.now();
         let (beat, targets, alone) = peers.with_table(|t| {
             t.tick(now);
-            let (beat, targets) = t.beat();
+            let (beat, targets) = t.next_heartbeat();
             (beat, targets, t.is_alone())
         });
         let next = tokio::time::Instant::now() + Duration::from_millis(pause_ms);
@@ -283,7 +283,7 @@
             continue;
         }
         let now = peers.clock.now();
-        let answer = peers.with_table(|t| t.heard(now, from, beat));
+        let answer = peers.with_table(|t| t.on_heartbeat(now, from, beat));
         if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut(sender)) {
             log_answer(sender, &answer);
             send_beat(&peers, &udp, &answer, vec![to]).await;
