--- a/src/agree.rs
+++ b/src/agree.rs
@@ -1,11 +1,16 @@
-//! Agreement among control hosts: a replicated log with leader, terms and
-//! majority commit, as a state machine without I/O, clock or global randomness.
+//! Replicated log of the control hosts (Raft), as a state machine without I/O,
+//! clock or global randomness.
 //!
-//! Beyond the textbook: pre-vote and check-quorum, so that a leader cut off in
-//! silence neither accepts nor disturbs; identities that belong to the disk, so
-//! that a host back without its disk cannot vote as if it still had it; and
-//! membership changed one store at a time, with a newcomer counted only once it
-//! has caught up. See `docs/CONFIGURATION.md`.
+//! Additions to basic Raft:
+//! - Pre-vote and check-quorum: a leader that loses contact with a quorum steps down
+//!   instead of accepting proposals, and a store that was cut off does not force an
+//!   election when it is back.
+//! - A replica's identity belongs to its data folder, not to its host: a host that
+//!   lost its disk cannot vote again in a term in which it has already voted.
+//! - Membership changes one store at a time, and a new store is a learner until it
+//!   has caught up.
+//!
+//! See `docs/CONFIGURATION.md`.
 
 mod log;
 mod message;
--- a/src/agree/log.rs
+++ b/src/agree/log.rs
@@ -1,8 +1,8 @@
-//! The part of the log behind the snapshot, in memory.
+//! The log in memory: a snapshot and the entries after it.
 
 use super::message::{Entry, GroupMember, Payload, Snapshot};
 
-/// Entries after a snapshot.
+/// A snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Log {
     pub snapshot: Snapshot,
@@ -22,7 +22,7 @@
         self.entries.last().map_or(self.snapshot.term, |e| e.term)
     }
 
-    /// The term of an entry; none when it is not here.
+    /// The term of an entry; none if the log does not hold it.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -31,17 +31,17 @@
     }
 
     pub fn get(&self, index: u64) -> Option<&Entry> {
-        let at = index.checked_sub(self.snapshot.index + 1)?;
-        self.entries.get(at as usize)
+        let offset = index.checked_sub(self.snapshot.index + 1)?;
+        self.entries.get(offset as usize)
     }
 
-    /// Entries from `first` on, at most `most`.
-    pub fn from(&self, first: u64, most: usize) -> Vec<Entry> {
-        let at = first.saturating_sub(self.snapshot.index + 1) as usize;
-        self.entries.iter().skip(at).take(most).cloned().collect()
+    /// The entries from index `first` on, at most `max`.
+    pub fn entries_from(&self, first: u64, max: usize) -> Vec<Entry> {
+        let offset = first.saturating_sub(self.snapshot.index + 1) as usize;
+        self.entries.iter().skip(offset).take(max).cloned().collect()
     }
 
-    /// Appends entries; the first replaces whatever stands from its index on.
+    /// Appends entries, after removing any existing ones from the first one's index on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else {
             return;
@@ -51,7 +51,7 @@
         self.entries.extend_from_slice(entries);
     }
 
-    /// Replaces the entries up to the snapshot's by the snapshot.
+    /// Replaces the entries covered by `snapshot`; if the log does not match it, all entries.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let covered = snapshot.index.saturating_sub(self.snapshot.index) as usize;
         if self.term(snapshot.index) == Some(snapshot.term) {
@@ -62,7 +62,7 @@
         self.snapshot = snapshot;
     }
 
-    /// The newest membership, and the index at which it was written.
+    /// The latest membership, and the index of the entry that set it.
     pub fn members(&self) -> (u64, Vec<GroupMember>) {
         for entry in self.entries.iter().rev() {
             if let Payload::Members(members) = &entry.payload {
@@ -74,8 +74,8 @@
 
     /// The membership as of an entry.
     pub fn members_at(&self, index: u64) -> Vec<GroupMember> {
-        let until = self.entries.iter().rev().filter(|e| e.index <= index);
-        for entry in until {
+        let covered = self.entries.iter().rev().filter(|e| e.index <= index);
+        for entry in covered {
             if let Payload::Members(members) = &entry.payload {
                 return members.clone();
             }
--- a/src/agree/message.rs
+++ b/src/agree/message.rs
@@ -1,4 +1,4 @@
-//! Entries, membership and messages of the agreement.
+//! Log entries, group membership and messages of the replicated log.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::wire::HostId;
 
-/// Identity of one data folder, random and new with every empty one.
+/// Identity of one data folder: random, generated when the folder is empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
@@ -16,29 +16,29 @@
     }
 }
 
-/// A store in the group.
+/// A member of the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMember {
     /// The store.
     pub store: StoreId,
     /// The host that holds it.
     pub host: HostId,
-    /// Where that host's peers reach it.
+    /// The address at which peers reach that host.
     pub peer: SocketAddr,
-    /// Whether it counts in majorities.
+    /// Whether it votes and counts in quorums; otherwise it is a learner.
     pub voter: bool,
-    /// The store that it takes the place of once it has caught up.
+    /// The member that is removed once this learner has caught up.
     pub replaces: Option<StoreId>,
 }
 
-/// What an entry holds.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader's first entry.
+    /// No command: the first entry of a new leader's term.
     Noop,
-    /// The group from here on.
+    /// The membership of the group from this entry on.
     Members(Vec<GroupMember>),
-    /// A command for the state machine above.
+    /// An encoded command for the replicated state machine.
     Data(Vec<u8>),
 }
 
@@ -47,106 +47,108 @@
 pub struct Entry {
     /// The term of the leader that appended it.
     pub term: u64,
-    /// Its place, from 1.
+    /// Its index in the log, starting at 1.
     pub index: u64,
-    /// What it holds.
+    /// Its content.
     pub payload: Payload,
 }
 
-/// What a store must not forget about votes.
+/// The term and vote that a store must persist before it answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The newest term seen.
+    /// The highest term seen.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The store that it voted for in that term.
     pub voted_for: Option<StoreId>,
 }
 
-/// The state up to an entry, in place of the entries.
+/// The state machine's state up to an entry, which replaces the entries up to there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it covers.
+    /// The index of the last entry covered.
     pub index: u64,
     /// That entry's term.
     pub term: u64,
-    /// The group as of that entry.
+    /// The membership as of that entry.
     pub members: Vec<GroupMember>,
-    /// The state machine's state.
+    /// The encoded state of the state machine.
     pub data: Vec<u8>,
 }
 
 /// A message from one store to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sends.
+    /// The sender.
     pub from: StoreId,
-    /// To whom; another store on the same host must not take it.
+    /// The receiver. A host that holds another store by now ignores the message.
     pub to: StoreId,
-    /// The sender's term, or the term stood for.
+    /// The sender's term; in a pre-vote, the term of the election that would follow.
     pub term: u64,
-    /// What is said.
+    /// The message.
     pub message: Message,
 }
 
 impl Envelope {
-    /// Whether it promises something that must be on the sender's disk first.
-    /// A leader's entries promise nothing of its own copy, and a preliminary
-    /// vote binds nobody.
+    /// Whether the sender must sync its disk before it sends this message.
+    /// Entries from a leader don't count as stored on the leader, and a pre-vote
+    /// is not binding, so neither waits.
     pub fn needs_sync(&self) -> bool {
         match self.message {
-            Message::Append { .. } | Message::Install { .. } => false,
-            Message::Vote { pre, .. } | Message::Voted { pre, .. } => !pre,
-            Message::Appended { .. } => true,
+            Message::AppendEntries { .. } | Message::InstallSnapshot { .. } => false,
+            Message::RequestVote { pre_vote, .. } | Message::VoteResponse { pre_vote, .. } => {
+                !pre_vote
+            }
+            Message::AppendResponse { .. } => true,
         }
     }
 }
 
-/// What stores say to each other.
+/// The content of a message between stores.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for a vote, or whether there would be one.
-    Vote {
-        /// Whether it only asks.
-        pre: bool,
-        /// The candidate's last entry.
+    /// Asks for a vote, or for a pre-vote.
+    RequestVote {
+        /// Whether this is a pre-vote: whether the receiver would grant its vote.
+        pre_vote: bool,
+        /// The index of the candidate's last entry.
         last_index: u64,
         /// That entry's term.
         last_term: u64,
     },
-    /// Answers a vote request.
-    Voted {
-        /// Whether it was only asked.
-        pre: bool,
-        /// Whether it is given.
+    /// Answers [`Message::RequestVote`].
+    VoteResponse {
+        /// Whether it answers a pre-vote.
+        pre_vote: bool,
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries from the leader; none for a heartbeat.
-    Append {
-        /// The entry before the first.
+    /// Entries from the leader; a heartbeat has none.
+    AppendEntries {
+        /// The index of the entry before the first one sent.
         prev_index: u64,
         /// That entry's term.
         prev_term: u64,
         /// The entries.
         entries: Vec<Entry>,
-        /// How far the leader knows to be committed.
+        /// The leader's commit index.
         commit: u64,
-        /// The leader's round, echoed in the answer.
+        /// The leader's broadcast number, echoed in the response.
         round: u64,
     },
-    /// Answers entries or a snapshot.
-    Appended {
-        /// Whether the entry before the first matched.
+    /// Answers [`Message::AppendEntries`] or [`Message::InstallSnapshot`].
+    AppendResponse {
+        /// Whether the logs matched at the entry before the first one sent.
         success: bool,
-        /// On success how far the logs match; else where to try next.
+        /// On success the index up to which the logs match, otherwise the one to try next.
         index: u64,
-        /// The round answered.
+        /// The broadcast number of the message answered.
         round: u64,
     },
-    /// The leader's snapshot, for a store too far behind.
-    Install {
+    /// The leader's snapshot, for a follower that needs entries already compacted.
+    InstallSnapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// The leader's round.
+        /// The leader's broadcast number, echoed in the response.
         round: u64,
     },
 }
--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -1,4 +1,4 @@
-//! One store's part in the agreement.
+//! The replica: one store's state machine of the replicated log.
 
 mod election;
 mod membership;
@@ -15,63 +15,65 @@
 
 /// Milliseconds between two heartbeats of a leader.
 pub const HEARTBEAT_MS: Millis = 100;
-/// Shortest silence of a leader after which a store stands for election; the
-/// longest is twice that.
+/// Shortest election timeout in milliseconds: without contact to a leader for that
+/// long, a voter starts an election. Timeouts are random, up to twice as long.
 pub const MIN_ELECTION_TIMEOUT_MS: Millis = 700;
-/// The same for the first attempt after a start, doubled with each further one:
-/// where all were stopped at once nobody leads, and where somebody does, a vote is
-/// not given. Two heartbeats of a leader fit in.
-const FIRST_ELECTION_MS: Millis = 200;
-/// Most entries in one message.
-const MAX_ENTRIES: usize = 512;
-
-/// What a store is at the moment.
+/// The shortest election timeout in milliseconds before the first contact with a leader
+/// after a start; it doubles with each attempt up to [`MIN_ELECTION_TIMEOUT_MS`]. It is
+/// short because after a restart of all hosts there is no leader. If there is one, the
+/// pre-vote is refused. Two heartbeats of a leader fit into it.
+const FIRST_ELECTION_TIMEOUT_MS: Millis = 200;
+/// Most entries in one message of the leader.
+const MAX_ENTRIES_PER_MESSAGE: usize = 512;
+
+/// The current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It follows a leader, or waits for one.
+    /// Follows a leader, or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// Collects pre-votes.
     PreCandidate,
-    /// It stands for election.
+    /// Collects votes.
     Candidate,
-    /// It leads.
+    /// Leads the group in its term.
     Leader,
 }
 
-/// What must be on disk before any message of the same output is sent.
+/// A record to be synced to disk before the messages that need it are sent
+/// (see [`Envelope::needs_sync`]).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Persist {
     /// Term and vote.
     HardState(HardState),
-    /// Entries; the first replaces whatever stands from its index on.
+    /// Entries to append, after removing any existing ones from the first one's index on.
     Entries(Vec<Entry>),
-    /// A snapshot in place of all entries up to its index.
+    /// A snapshot that replaces all entries up to its index.
     Snapshot(Snapshot),
 }
 
-/// What follows from an input, to be carried out in this order.
+/// The effects of an input, to be carried out in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// To be written and synced, in order.
+    /// Records to write and sync, in order.
     pub persist: Vec<Persist>,
-    /// To be sent.
+    /// Messages to send.
     pub messages: Vec<Envelope>,
-    /// A snapshot with which the state machine must be replaced.
+    /// A snapshot from which the state machine must be restored.
     pub restore: Option<Snapshot>,
-    /// Newly committed entries, to be applied in order.
+    /// Newly committed entries, to apply in order.
     pub committed: Vec<Entry>,
-    /// Reads that may now be answered from what has been applied.
+    /// Tokens of reads that may now be answered from the applied state.
     pub reads: Vec<u64>,
 }
 
-/// A proposal or read came to a store that does not lead.
+/// A request was refused because this replica is not the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader {
-    /// The leader, where known.
+    /// The leader, if known.
     pub leader: Option<StoreId>,
 }
 
-/// A store's state for reports.
+/// A replica's state for status reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// The store.
@@ -80,13 +82,13 @@
     pub role: Role,
     /// Its term.
     pub term: u64,
-    /// The leader, where known.
+    /// The leader, if known.
     pub leader: Option<StoreId>,
-    /// How far it knows to be committed.
+    /// Its commit index.
     pub commit: u64,
-    /// Its last entry.
+    /// The index of its last entry.
     pub last: u64,
-    /// The group as it knows it.
+    /// The latest membership in its log.
     pub members: Vec<GroupMember>,
 }
 
@@ -104,39 +106,39 @@
     round: u64,
 }
 
-/// One store's part in the agreement. Every input carries the time; randomness
-/// comes from the seed given at the start.
+/// One store's replica of the log. Every input that depends on time carries it, in
+/// milliseconds; randomness comes from the seed passed to [`Replica::new`].
 #[derive(Clone, Debug)]
 pub struct Replica {
     id: StoreId,
-    hard: HardState,
+    hard_state: HardState,
     log: Log,
     role: Role,
     leader: Option<StoreId>,
     commit: u64,
     members: Vec<GroupMember>,
     members_index: u64,
-    durable: u64,
+    durable_index: u64,
     max_voters: usize,
     votes: BTreeSet<StoreId>,
     progress: BTreeMap<StoreId, Progress>,
-    reads: Vec<Read>,
+    pending_reads: Vec<Read>,
     round: u64,
-    heard_leader: Option<Millis>,
-    election_at: Millis,
-    /// Elections that were waited for since the start.
-    waits: u32,
-    heartbeat_at: Millis,
+    last_leader_contact: Option<Millis>,
+    election_due: Millis,
+    /// How often the election timer was set since the start.
+    timer_resets: u32,
+    heartbeat_due: Millis,
     rng: SmallRng,
-    out: Output,
+    output: Output,
 }
 
 impl Replica {
-    /// A store as it was found on disk.
+    /// A replica with the state read from disk.
     pub fn new(
         now: Millis,
         id: StoreId,
-        hard: HardState,
+        hard_state: HardState,
         snapshot: Snapshot,
         entries: Vec<Entry>,
         seed: u64,
@@ -144,46 +146,46 @@
         let commit = snapshot.index;
         let log = Log::new(snapshot, entries);
         let (members_index, members) = log.members();
-        let durable = log.last_index();
+        let durable_index = log.last_index();
         let mut replica = Replica {
             id,
-            hard,
+            hard_state,
             log,
             role: Role::Follower,
             leader: None,
             commit,
             members,
             members_index,
-            durable,
+            durable_index,
             max_voters: usize::MAX,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
-            reads: Vec::new(),
+            pending_reads: Vec::new(),
             round: 0,
-            heard_leader: None,
-            election_at: 0,
-            waits: 0,
-            heartbeat_at: 0,
+            last_leader_contact: None,
+            election_due: 0,
+            timer_resets: 0,
+            heartbeat_due: 0,
             rng: SmallRng::seed_from_u64(seed),
-            out: Output::default(),
+            output: Output::default(),
         };
-        replica.rest(now);
+        replica.reset_election_timer(now);
         replica
     }
 
-    /// What must be on disk for a new group of `members` before any of them starts.
+    /// The records that must be on the disk of each of `members` before a new group starts.
     pub fn bootstrap_records(members: Vec<GroupMember>) -> Vec<Persist> {
-        let hard = HardState { term: 1, voted_for: None };
+        let hard_state = HardState { term: 1, voted_for: None };
         let entry = Entry { term: 1, index: 1, payload: Payload::Members(members) };
-        vec![Persist::HardState(hard), Persist::Entries(vec![entry])]
+        vec![Persist::HardState(hard_state), Persist::Entries(vec![entry])]
     }
 
-    /// Its state.
+    /// Its state for status reports.
     pub fn status(&self) -> Status {
         Status {
             store: self.id,
             role: self.role,
-            term: self.hard.term,
+            term: self.hard_state.term,
             leader: self.leader,
             commit: self.commit,
             last: self.log.last_index(),
@@ -191,8 +193,8 @@
         }
     }
 
-    /// With this many voters the group is complete: further stores follow
-    /// without a vote until one is long silent.
+    /// Sets the largest number of voters: in a group with that many, further stores stay
+    /// learners until a voter has been silent for too long.
     pub fn set_max_voters(&mut self, most: usize) {
         self.max_voters = most;
     }
@@ -204,74 +206,75 @@
 
     /// Its term.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Whether an entry of the current term is known to be committed, and with it all that
-    /// was committed before. A store that has started again knows the leader sooner.
+    /// Whether its commit index has reached the current term, so that it knows of every
+    /// earlier commit. After a restart it knows the leader before that.
     pub fn has_caught_up(&self) -> bool {
-        self.log.term(self.commit) == Some(self.hard.term)
+        self.log.term(self.commit) == Some(self.hard_state.term)
     }
 
-    /// The leader that it follows or is, where known.
+    /// The leader of its term, if known; possibly itself.
     pub fn leader(&self) -> Option<StoreId> {
         self.leader
     }
 
-    /// The group as it knows it.
+    /// The latest membership in its log.
     pub fn members(&self) -> &[GroupMember] {
         &self.members
     }
 
-    /// The entry up to which a restart would find the log as it is now, were
-    /// everything persisted that has been handed out.
+    /// Index and term of its last entry, to be passed to [`Replica::record_synced`] once all
+    /// records that were handed out are on disk.
     pub fn last_entry(&self) -> (u64, u64) {
         (self.log.last_index(), self.log.last_term())
     }
 
-    /// When [`Replica::tick`] has something to do next.
+    /// When to call [`Replica::tick`] next, in milliseconds.
     pub fn next_tick(&self) -> Millis {
         match self.role {
-            Role::Leader => self.heartbeat_at,
-            _ => self.election_at,
+            Role::Leader => self.heartbeat_due,
+            _ => self.election_due,
         }
     }
 
-    /// All that was handed out for persisting up to the entry `index` of `term`
-    /// is on this store's disk. A leader counts itself only up to there.
+    /// Records that everything in earlier outputs up to entry `index` of `term` is synced
+    /// to disk. A leader counts its own copy only up to there.
     pub fn record_synced(&mut self, index: u64, term: u64) -> Output {
-        if self.log.term(index) == Some(term) && index > self.durable {
-            self.durable = index;
+        if self.log.term(index) == Some(term) && index > self.durable_index {
+            self.durable_index = index;
             if self.role == Role::Leader {
                 self.advance_commit();
-                // Where no other store acknowledges anything, nothing else would.
+                // In a group of one no response arrives that would complete the reads.
                 self.answer_reads();
             }
         }
         self.take_output()
     }
 
-    /// Whether it belongs to a group already.
+    /// Whether it has a membership, so belongs to a group.
     pub fn is_bootstrapped(&self) -> bool {
         !self.members.is_empty()
     }
 
-    /// How far each follower's log is known to match, on the leader.
+    /// On the leader, the index up to which each follower's log is known to match.
     pub fn matched(&self) -> BTreeMap<StoreId, u64> {
         self.progress.iter().map(|(store, p)| (*store, p.matched)).collect()
     }
 
-    /// Time passes.
+    /// Advances time: sends heartbeats as leader, starts an election when one is due.
     pub fn tick(&mut self, now: Millis) -> Output {
         if self.role == Role::Leader {
-            self.lead(now);
-        } else if now >= self.election_at && self.is_voter() {
-            self.stand(now, true);
+            self.tick_leader(now);
+        } else if now >= self.election_due && self.is_voter() {
+            self.start_election(now, true);
         }
         self.take_output()
     }
 
-    /// A command is to be appended; its index and term tell when it is committed.
+    /// Appends commands and returns their indexes. An entry is committed if it appears with
+    /// this index and the current term in [`Output::committed`].
     pub fn propose(
         &mut self,
         now: Millis,
@@ -279,11 +282,11 @@
     ) -> Result<(Vec<u64>, Output), NotLeader> {
         self.require_leader()?;
         let payloads = data.into_iter().map(Payload::Data).collect();
-        let indexes = self.append_own(now, payloads);
+        let indexes = self.append_as_leader(now, payloads);
         Ok((indexes, self.take_output()))
     }
 
-    /// The group is to change. Refused while an earlier change is under way.
+    /// Changes the membership; none while an earlier change is not committed.
     pub fn change_members(
         &mut self,
         now: Millis,
@@ -293,23 +296,24 @@
         if !self.may_change_members() {
             return Ok(None);
         }
-        self.append_own(now, vec![Payload::Members(members)]);
+        self.append_as_leader(now, vec![Payload::Members(members)]);
         Ok(Some(self.take_output()))
     }
 
-    /// Asks to be told when all that was committed before now has been applied
-    /// and this store is known to lead still.
+    /// Starts a linearizable read. Its token appears in [`Output::reads`] once a quorum has
+    /// confirmed that this replica still leads; by then its commit index covers every
+    /// commit made before the read.
     pub fn read(&mut self, now: Millis, token: u64) -> Result<Output, NotLeader> {
         self.require_leader()?;
         self.broadcast(now);
-        self.reads.push(Read { token, round: self.round });
+        self.pending_reads.push(Read { token, round: self.round });
         self.answer_reads();
         Ok(self.take_output())
     }
 
-    /// The state machine's state up to `index`, in place of the entries.
+    /// Compacts the log up to `index` to a snapshot with the state `data`.
     pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Output {
-        // A snapshot that covers nothing new would take the entries behind it along.
+        // An older snapshot than the present one would drop the entries after it.
         let new = index > self.log.snapshot.index && index <= self.commit;
         let Some(term) = self.log.term(index).filter(|_| new) else {
             return Output::default();
@@ -317,42 +321,58 @@
         let members = self.log.members_at(index);
         let snapshot = Snapshot { index, term, members, data };
         self.log.compact(snapshot.clone());
-        self.out.persist.push(Persist::Snapshot(snapshot));
+        self.output.persist.push(Persist::Snapshot(snapshot));
         self.take_output()
     }
 
-    /// A message arrived.
+    /// Handles a message; one for another store is ignored.
     pub fn receive(&mut self, now: Millis, envelope: Envelope) -> Output {
         if envelope.to != self.id {
             return Output::default();
         }
         let Envelope { from, term, message, .. } = envelope;
-        let only_asks = matches!(
+        // A granted pre-vote carries the term of an election that has not begun; a refused
+        // one carries the receiver's own term.
+        let is_pre_vote = matches!(
             message,
-            Message::Vote { pre: true, .. } | Message::Voted { pre: true, granted: true }
+            Message::RequestVote { pre_vote: true, .. }
+                | Message::VoteResponse { pre_vote: true, granted: true }
         );
-        if term > self.hard.term && !only_asks {
-            let leads = matches!(message, Message::Append { .. } | Message::Install { .. });
-            self.follow(now, term, leads.then_some(from));
+        if term > self.hard_state.term && !is_pre_vote {
+            let is_from_leader =
+                matches!(message, Message::AppendEntries { .. } | Message::InstallSnapshot { .. });
+            self.become_follower(now, term, is_from_leader.then_some(from));
         }
         match message {
-            Message::Vote { pre, last_index, last_term } => {
-                self.vote(now, from, term, pre, (last_term, last_index));
+            Message::RequestVote { pre_vote, last_index, last_term } => {
+                self.on_request_vote(now, from, term, pre_vote, (last_term, last_index));
             }
-            Message::Voted { pre, granted } => self.voted(now, from, term, pre, granted),
-            Message::Append { prev_index, prev_term, entries, commit, round } => {
-                self.append(now, from, term, (prev_index, prev_term), entries, commit, round);
+            Message::VoteResponse { pre_vote, granted } => {
+                self.on_vote_response(now, from, term, pre_vote, granted)
             }
-            Message::Appended { success, index, round } => {
-                self.appended(now, from, term, success, index, round);
+            Message::AppendEntries { prev_index, prev_term, entries, commit, round } => {
+                self.on_append_entries(
+                    now,
+                    from,
+                    term,
+                    (prev_index, prev_term),
+                    entries,
+                    commit,
+                    round,
+                );
+            }
+            Message::AppendResponse { success, index, round } => {
+                self.on_append_response(now, from, term, success, index, round);
+            }
+            Message::InstallSnapshot { snapshot, round } => {
+                self.on_install_snapshot(now, from, term, snapshot, round)
             }
-            Message::Install { snapshot, round } => self.install(now, from, term, snapshot, round),
         }
         self.take_output()
     }
 
     fn take_output(&mut self) -> Output {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.output)
     }
 
     fn require_leader(&self) -> Result<(), NotLeader> {
@@ -364,32 +384,34 @@
 
     fn send(&mut self, to: StoreId, term: u64, message: Message) {
         let from = self.id;
-        self.out.messages.push(Envelope { from, to, term, message });
+        self.output.messages.push(Envelope { from, to, term, message });
     }
 
-    fn save_hard(&mut self) {
-        self.out.persist.push(Persist::HardState(self.hard));
+    fn persist_hard_state(&mut self) {
+        self.output.persist.push(Persist::HardState(self.hard_state));
     }
 
-    /// Restarts the election timer, at random so that split votes end.
-    fn rest(&mut self, now: Millis) {
-        let least = match self.heard_leader {
+    /// Restarts the election timer. Its length is random, so that split votes don't repeat.
+    fn reset_election_timer(&mut self, now: Millis) {
+        let min_timeout = match self.last_leader_contact {
             Some(_) => MIN_ELECTION_TIMEOUT_MS,
-            None => (FIRST_ELECTION_MS << self.waits.min(4)).min(MIN_ELECTION_TIMEOUT_MS),
+            None => {
+                (FIRST_ELECTION_TIMEOUT_MS << self.timer_resets.min(4)).min(MIN_ELECTION_TIMEOUT_MS)
+            }
         };
-        self.waits += 1;
-        self.election_at = now + self.rng.random_range(least..2 * least);
+        self.timer_resets += 1;
+        self.election_due = now + self.rng.random_range(min_timeout..2 * min_timeout);
     }
 
-    fn follow(&mut self, now: Millis, term: u64, leader: Option<StoreId>) {
-        if term > self.hard.term {
-            self.hard = HardState { term, voted_for: None };
-            self.save_hard();
+    fn become_follower(&mut self, now: Millis, term: u64, leader: Option<StoreId>) {
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, voted_for: None };
+            self.persist_hard_state();
         }
         self.role = Role::Follower;
         self.leader = leader;
         self.votes.clear();
-        self.reads.clear();
-        self.rest(now);
+        self.pending_reads.clear();
+        self.reset_election_timer(now);
     }
 }
--- a/src/agree/replica/election.rs
+++ b/src/agree/replica/election.rs
@@ -1,76 +1,81 @@
-//! Standing for election and voting.
+//! Elections: pre-vote, vote and becoming leader.
 
 use std::collections::BTreeSet;
 
 use super::{HardState, MIN_ELECTION_TIMEOUT_MS, Message, Millis, Payload, Replica, Role, StoreId};
 
 impl Replica {
-    pub(super) fn stand(&mut self, now: Millis, pre: bool) {
-        self.rest(now);
+    pub(super) fn start_election(&mut self, now: Millis, pre_vote: bool) {
+        self.reset_election_timer(now);
         self.leader = None;
         self.votes = BTreeSet::from([self.id]);
-        if pre {
+        if pre_vote {
             self.role = Role::PreCandidate;
         } else {
             self.role = Role::Candidate;
-            let term = self.hard.term + 1;
-            self.hard = HardState { term, voted_for: Some(self.id) };
-            self.save_hard();
+            let term = self.hard_state.term + 1;
+            self.hard_state = HardState { term, voted_for: Some(self.id) };
+            self.persist_hard_state();
         }
-        let term = if pre { self.hard.term + 1 } else { self.hard.term };
+        let term = if pre_vote { self.hard_state.term + 1 } else { self.hard_state.term };
         let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
         let voters = self.members.iter().filter(|m| m.voter && m.store != self.id);
         for to in voters.map(|m| m.store).collect::<Vec<_>>() {
-            self.send(to, term, Message::Vote { pre, last_index, last_term });
+            self.send(to, term, Message::RequestVote { pre_vote, last_index, last_term });
         }
         self.count_votes(now);
     }
 
-    pub(super) fn vote(
+    pub(super) fn on_request_vote(
         &mut self,
         now: Millis,
         from: StoreId,
         term: u64,
-        pre: bool,
+        pre_vote: bool,
         last: (u64, u64),
     ) {
-        let whole = last >= (self.log.last_term(), self.log.last_index());
-        let granted = match pre {
-            true => term > self.hard.term && whole && !self.hears_leader(now),
+        let is_up_to_date = last >= (self.log.last_term(), self.log.last_index());
+        let granted = match pre_vote {
+            true => term > self.hard_state.term && is_up_to_date && !self.has_live_leader(now),
             false => {
-                let free = self.hard.voted_for.is_none_or(|v| v == from);
-                term == self.hard.term && whole && free && self.role == Role::Follower
+                let has_free_vote = self.hard_state.voted_for.is_none_or(|v| v == from);
+                term == self.hard_state.term
+                    && is_up_to_date
+                    && has_free_vote
+                    && self.role == Role::Follower
             }
         };
-        if granted && !pre {
-            self.hard.voted_for = Some(from);
-            self.save_hard();
-            self.rest(now);
+        if granted && !pre_vote {
+            self.hard_state.voted_for = Some(from);
+            self.persist_hard_state();
+            self.reset_election_timer(now);
         }
-        // A refused candidate learns the newer term; a granted one its own.
-        let term = if granted { term } else { self.hard.term };
-        self.send(from, term, Message::Voted { pre, granted });
+        // A refusal carries the receiver's term, so that a stale candidate learns it; a
+        // granted vote carries the candidate's.
+        let term = if granted { term } else { self.hard_state.term };
+        self.send(from, term, Message::VoteResponse { pre_vote, granted });
     }
 
-    /// Whether a leader is known to be at work.
-    pub(super) fn hears_leader(&self, now: Millis) -> bool {
+    /// Whether this replica leads or was in contact with a leader within the shortest
+    /// election timeout.
+    pub(super) fn has_live_leader(&self, now: Millis) -> bool {
         self.role == Role::Leader
-            || self.heard_leader.is_some_and(|at| now < at + MIN_ELECTION_TIMEOUT_MS)
+            || self.last_leader_contact.is_some_and(|at| now < at + MIN_ELECTION_TIMEOUT_MS)
     }
 
-    pub(super) fn voted(
+    pub(super) fn on_vote_response(
         &mut self,
         now: Millis,
         from: StoreId,
         term: u64,
-        pre: bool,
+        pre_vote: bool,
         granted: bool,
     ) {
-        let awaited = match pre {
-            true => self.role == Role::PreCandidate && term == self.hard.term + 1,
-            false => self.role == Role::Candidate && term == self.hard.term,
+        let expected = match pre_vote {
+            true => self.role == Role::PreCandidate && term == self.hard_state.term + 1,
+            false => self.role == Role::Candidate && term == self.hard_state.term,
         };
-        if awaited && granted {
+        if expected && granted {
             self.votes.insert(from);
             self.count_votes(now);
         }
@@ -79,22 +84,22 @@
     pub(super) fn count_votes(&mut self, now: Millis) {
         let voters = self.members.iter().filter(|m| m.voter);
         let votes = voters.filter(|m| self.votes.contains(&m.store)).count();
-        if votes < self.majority() {
+        if votes < self.quorum() {
             return;
         }
         match self.role {
-            Role::PreCandidate => self.stand(now, false),
-            Role::Candidate => self.win(now),
+            Role::PreCandidate => self.start_election(now, false),
+            Role::Candidate => self.become_leader(now),
             Role::Follower | Role::Leader => {}
         }
     }
 
-    pub(super) fn win(&mut self, now: Millis) {
+    pub(super) fn become_leader(&mut self, now: Millis) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
         self.progress.clear();
-        self.reads.clear();
+        self.pending_reads.clear();
         self.track_members(now);
-        self.append_own(now, vec![Payload::Noop]);
+        self.append_as_leader(now, vec![Payload::Noop]);
     }
 }
--- a/src/agree/replica/replication.rs
+++ b/src/agree/replica/replication.rs
@@ -1,49 +1,49 @@
-//! Entries from the leader to the others, and what they answer.
+//! Log replication from the leader to the other members, and commits.
 
 use super::{
-    Entry, HEARTBEAT_MS, MAX_ENTRIES, Message, Millis, Payload, Persist, Read, Replica, Role,
-    Snapshot, StoreId,
+    Entry, HEARTBEAT_MS, MAX_ENTRIES_PER_MESSAGE, Message, Millis, Payload, Persist, Read, Replica,
+    Role, Snapshot, StoreId,
 };
 
 impl Replica {
-    pub(super) fn append_own(&mut self, now: Millis, payloads: Vec<Payload>) -> Vec<u64> {
+    pub(super) fn append_as_leader(&mut self, now: Millis, payloads: Vec<Payload>) -> Vec<u64> {
         let first = self.log.last_index() + 1;
-        let term = self.hard.term;
-        let number = |(at, payload)| Entry { term, index: first + at as u64, payload };
-        let entries: Vec<_> = payloads.into_iter().enumerate().map(number).collect();
+        let term = self.hard_state.term;
+        let to_entry = |(offset, payload)| Entry { term, index: first + offset as u64, payload };
+        let entries: Vec<_> = payloads.into_iter().enumerate().map(to_entry).collect();
         let indexes = entries.iter().map(|e| e.index).collect();
-        self.write(entries);
+        self.append_to_log(entries);
         self.track_members(now);
         self.broadcast(now);
         self.advance_commit();
         indexes
     }
 
-    pub(super) fn write(&mut self, entries: Vec<Entry>) {
+    pub(super) fn append_to_log(&mut self, entries: Vec<Entry>) {
         if let Some(first) = entries.first() {
-            self.durable = self.durable.min(first.index - 1);
+            self.durable_index = self.durable_index.min(first.index - 1);
         }
         self.log.append(&entries);
         (self.members_index, self.members) = self.log.members();
-        self.out.persist.push(Persist::Entries(entries));
+        self.output.persist.push(Persist::Entries(entries));
     }
 
-    pub(super) fn lead(&mut self, now: Millis) {
-        if !self.hears_majority(now) {
-            let term = self.hard.term;
-            self.follow(now, term, None);
+    pub(super) fn tick_leader(&mut self, now: Millis) {
+        if !self.is_in_contact_with_quorum(now) {
+            let term = self.hard_state.term;
+            self.become_follower(now, term, None);
             return;
         }
-        if now >= self.heartbeat_at {
+        if now >= self.heartbeat_due {
             self.broadcast(now);
-            self.admit_newcomer(now);
+            self.promote_learner(now);
         }
     }
 
     pub(super) fn broadcast(&mut self, now: Millis) {
         self.round += 1;
-        self.heartbeat_at = now + HEARTBEAT_MS;
-        for to in self.others() {
+        self.heartbeat_due = now + HEARTBEAT_MS;
+        for to in self.other_members() {
             self.send_entries(to);
         }
     }
@@ -52,18 +52,18 @@
         let Some(next) = self.progress.get(&to).map(|p| p.next) else {
             return;
         };
-        let (term, round) = (self.hard.term, self.round);
+        let (term, round) = (self.hard_state.term, self.round);
         let prev_index = next - 1;
         let Some(prev_term) = self.log.term(prev_index) else {
             let snapshot = self.log.snapshot.clone();
             self.set_next(to, snapshot.index + 1);
-            self.send(to, term, Message::Install { snapshot, round });
+            self.send(to, term, Message::InstallSnapshot { snapshot, round });
             return;
         };
-        let entries = self.log.from(next, MAX_ENTRIES);
+        let entries = self.log.entries_from(next, MAX_ENTRIES_PER_MESSAGE);
         self.set_next(to, next + entries.len() as u64);
         let commit = self.commit;
-        let append = Message::Append { prev_index, prev_term, entries, commit, round };
+        let append = Message::AppendEntries { prev_index, prev_term, entries, commit, round };
         self.send(to, term, append);
     }
 
@@ -74,7 +74,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn append(
+    pub(super) fn on_append_entries(
         &mut self,
         now: Millis,
         from: StoreId,
@@ -84,41 +84,41 @@
         commit: u64,
         round: u64,
     ) {
-        if !self.hear(now, from, term) {
-            let refuse = Message::Appended { success: false, index: 0, round };
-            self.send(from, self.hard.term, refuse);
+        if !self.accept_leader(now, from, term) {
+            let rejection = Message::AppendResponse { success: false, index: 0, round };
+            self.send(from, self.hard_state.term, rejection);
             return;
         }
         let (prev_index, prev_term) = prev;
         let covered = prev_index < self.log.snapshot.index;
         if !covered && self.log.term(prev_index) != Some(prev_term) {
             let index = self.log.last_index().min(prev_index.saturating_sub(1)).max(self.commit);
-            let refuse = Message::Appended { success: false, index, round };
-            self.send(from, term, refuse);
+            let rejection = Message::AppendResponse { success: false, index, round };
+            self.send(from, term, rejection);
             return;
         }
         let matched = prev_index + entries.len() as u64;
         let differs =
             |e: &Entry| e.index > self.log.snapshot.index && self.log.term(e.index) != Some(e.term);
         if let Some(at) = entries.iter().position(differs) {
-            self.write(entries[at..].to_vec());
+            self.append_to_log(entries[at..].to_vec());
         }
-        self.commit_to(commit.min(matched));
-        let accept = Message::Appended { success: true, index: matched, round };
-        self.send(from, term, accept);
+        self.commit_up_to(commit.min(matched));
+        let acceptance = Message::AppendResponse { success: true, index: matched, round };
+        self.send(from, term, acceptance);
     }
 
-    /// Whether `from` leads this term; if so it is followed.
-    pub(super) fn hear(&mut self, now: Millis, from: StoreId, term: u64) -> bool {
-        if term < self.hard.term {
+    /// Follows `from` as leader of `term`; false if the term is stale.
+    pub(super) fn accept_leader(&mut self, now: Millis, from: StoreId, term: u64) -> bool {
+        if term < self.hard_state.term {
             return false;
         }
-        self.follow(now, term, Some(from));
-        self.heard_leader = Some(now);
+        self.become_follower(now, term, Some(from));
+        self.last_leader_contact = Some(now);
         true
     }
 
-    pub(super) fn install(
+    pub(super) fn on_install_snapshot(
         &mut self,
         now: Millis,
         from: StoreId,
@@ -126,24 +126,24 @@
         snapshot: Snapshot,
         round: u64,
     ) {
-        if !self.hear(now, from, term) {
-            let refuse = Message::Appended { success: false, index: 0, round };
-            self.send(from, self.hard.term, refuse);
+        if !self.accept_leader(now, from, term) {
+            let rejection = Message::AppendResponse { success: false, index: 0, round };
+            self.send(from, self.hard_state.term, rejection);
             return;
         }
         if snapshot.index > self.commit {
             self.commit = snapshot.index;
             self.log.compact(snapshot.clone());
             (self.members_index, self.members) = self.log.members();
-            self.out.persist.push(Persist::Snapshot(snapshot.clone()));
-            self.out.restore = Some(snapshot);
-            self.out.committed.clear();
+            self.output.persist.push(Persist::Snapshot(snapshot.clone()));
+            self.output.restore = Some(snapshot);
+            self.output.committed.clear();
         }
-        let accept = Message::Appended { success: true, index: self.commit, round };
-        self.send(from, term, accept);
+        let acceptance = Message::AppendResponse { success: true, index: self.commit, round };
+        self.send(from, term, acceptance);
     }
 
-    pub(super) fn appended(
+    pub(super) fn on_append_response(
         &mut self,
         now: Millis,
         from: StoreId,
@@ -152,7 +152,7 @@
         index: u64,
         round: u64,
     ) {
-        if self.role != Role::Leader || term != self.hard.term {
+        if self.role != Role::Leader || term != self.hard_state.term {
             return;
         }
         let last = self.log.last_index();
@@ -167,60 +167,61 @@
         } else {
             progress.next = (index + 1).clamp(progress.matched + 1, last + 1);
         }
-        let behind = progress.next <= last;
+        let is_behind = progress.next <= last;
         self.advance_commit();
         self.answer_reads();
-        if behind && self.role == Role::Leader {
+        if is_behind && self.role == Role::Leader {
             self.send_entries(from);
         }
     }
 
-    /// Commits what a majority holds, if it is of this term.
+    /// Commits up to the last entry that a quorum has on disk, if it is of the current term.
     pub(super) fn advance_commit(&mut self) {
         let voters = self.members.iter().filter(|m| m.voter);
         let mut matched: Vec<_> = voters
             .map(|m| match m.store == self.id {
-                true => self.durable,
+                true => self.durable_index,
                 false => self.progress.get(&m.store).map_or(0, |p| p.matched),
             })
             .collect();
         matched.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(held) = matched.get(self.majority() - 1).copied() else {
+        let Some(replicated) = matched.get(self.quorum() - 1).copied() else {
             return;
         };
-        if held > self.commit && self.log.term(held) == Some(self.hard.term) {
-            self.commit_to(held);
-            self.leave_if_removed();
+        if replicated > self.commit && self.log.term(replicated) == Some(self.hard_state.term) {
+            self.commit_up_to(replicated);
+            self.step_down_if_removed();
         }
     }
 
-    pub(super) fn commit_to(&mut self, index: u64) {
+    pub(super) fn commit_up_to(&mut self, index: u64) {
         while self.commit < index {
             let Some(entry) = self.log.get(self.commit + 1) else {
                 return;
             };
-            self.out.committed.push(entry.clone());
+            self.output.committed.push(entry.clone());
             self.commit += 1;
         }
     }
 
-    /// Answers the reads whose round a majority has acknowledged, once this
-    /// leader has committed an entry of its own term.
+    /// Completes the reads whose broadcast a quorum has acknowledged, once this leader
+    /// has committed an entry of its own term.
     pub(super) fn answer_reads(&mut self) {
         if !self.has_caught_up() {
             return;
         }
-        let majority = self.majority();
+        let quorum = self.quorum();
         let acked = |round: u64| {
             let voters = self.members.iter().filter(|m| m.voter);
             let acked = voters.filter(|m| {
                 let progress = self.progress.get(&m.store);
                 m.store == self.id || progress.is_some_and(|p| p.acked_round >= round)
             });
-            acked.count() >= majority
+            acked.count() >= quorum
         };
-        let (ready, waiting) = self.reads.iter().partition::<Vec<Read>, _>(|r| acked(r.round));
-        self.out.reads.extend(ready.iter().map(|r| r.token));
-        self.reads = waiting;
+        let (ready, pending) =
+            self.pending_reads.iter().partition::<Vec<Read>, _>(|r| acked(r.round));
+        self.output.reads.extend(ready.iter().map(|r| r.token));
+        self.pending_reads = pending;
     }
 }
--- a/src/agree/tests.rs
+++ b/src/agree/tests.rs
@@ -1,4 +1,4 @@
-//! The agreement under lost, doubled, late and reordered messages, cuts,
+//! The replicated log under lost, duplicated, delayed and reordered messages, cut links,
 //! crashes, lost disks and membership changes.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 use super::*;
 use crate::wire::HostId;
 
-/// What a store has on its disk.
+/// The synced state of a store.
 #[derive(Clone, Default)]
 struct Disk {
     hard: HardState,
@@ -42,7 +42,7 @@
     }
 }
 
-/// What waits for the disk: records, and the messages that promise them.
+/// Records not yet synced, and the messages that must wait for them.
 struct Unsynced {
     persist: Vec<Persist>,
     messages: Vec<Envelope>,
@@ -56,16 +56,16 @@
     applied: Vec<Vec<u8>>,
 }
 
-/// A group of stores and the network between them, driven step by step.
+/// A simulated group of stores and the network between them.
 struct Group {
     now: u64,
     rng: SmallRng,
     stores: BTreeMap<StoreId, Store>,
     network: Vec<Envelope>,
-    cut: BTreeSet<(StoreId, StoreId)>,
-    slow: BTreeSet<StoreId>,
-    loss: f64,
-    leaders: BTreeMap<u64, StoreId>,
+    cut_links: BTreeSet<(StoreId, StoreId)>,
+    stalled_disks: BTreeSet<StoreId>,
+    loss_rate: f64,
+    leader_by_term: BTreeMap<u64, StoreId>,
     committed: BTreeMap<u64, Entry>,
     accepted: Vec<(StoreId, u64, u64)>,
     proposals: u64,
@@ -89,10 +89,10 @@
             rng: SmallRng::seed_from_u64(seed),
             stores: BTreeMap::new(),
             network: Vec::new(),
-            cut: BTreeSet::new(),
-            slow: BTreeSet::new(),
-            loss: 0.0,
-            leaders: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            stalled_disks: BTreeSet::new(),
+            loss_rate: 0.0,
+            leader_by_term: BTreeMap::new(),
             committed: BTreeMap::new(),
             accepted: Vec::new(),
             proposals: 0,
@@ -131,7 +131,7 @@
         }
     }
 
-    fn with(&mut self, id: StoreId, f: impl FnOnce(&mut Replica, u64) -> Output) {
+    fn update(&mut self, id: StoreId, f: impl FnOnce(&mut Replica, u64) -> Output) {
         let now = self.now;
         let Some(replica) = self.stores.get_mut(&id).and_then(|s| s.replica.as_mut()) else {
             return;
@@ -142,9 +142,9 @@
 
     fn carry_out(&mut self, id: StoreId, out: Output) {
         let store = self.stores.get_mut(&id).unwrap();
-        let (held, at_once) = out.messages.into_iter().partition(Envelope::needs_sync);
+        let (after_sync, at_once) = out.messages.into_iter().partition(Envelope::needs_sync);
         let last = store.replica.as_ref().unwrap().last_entry();
-        store.unsynced.push(Unsynced { persist: out.persist, messages: held, last });
+        store.unsynced.push(Unsynced { persist: out.persist, messages: after_sync, last });
         if let Some(snapshot) = &out.restore {
             store.applied = postcard::from_bytes(&snapshot.data).unwrap();
         }
@@ -157,20 +157,20 @@
         }
         let status = self.stores[&id].replica.as_ref().unwrap().status();
         if status.role == Role::Leader {
-            let leader = *self.leaders.entry(status.term).or_insert(id);
+            let leader = *self.leader_by_term.entry(status.term).or_insert(id);
             assert_eq!(leader, id, "two leaders in term {}", status.term);
         }
         self.network.extend::<Vec<_>>(at_once);
     }
 
-    /// The disk of a store has taken all that waited for it.
+    /// Syncs all waiting records of a store and sends the messages that waited for them.
     fn sync(&mut self, id: StoreId) {
         let Some(store) = self.stores.get_mut(&id) else { return };
         for Unsynced { persist, messages, last } in std::mem::take(&mut store.unsynced) {
             let store = self.stores.get_mut(&id).unwrap();
             store.disk.write(&persist);
             self.network.extend(messages);
-            self.with(id, |replica, _| replica.record_synced(last.0, last.1));
+            self.update(id, |replica, _| replica.record_synced(last.0, last.1));
         }
     }
 
@@ -193,38 +193,40 @@
         let Some(replica) = &store.replica else { return };
         let commit = replica.status().commit;
         let data = postcard::to_stdvec(&store.applied).unwrap();
-        self.with(id, |replica, _| replica.compact(commit, data));
+        self.update(id, |replica, _| replica.compact(commit, data));
     }
 
     fn leader(&self) -> Option<StoreId> {
-        let leads =
-            |s: &Store| s.replica.as_ref().map(|n| n.status()).filter(|s| s.role == Role::Leader);
-        let leaders = self.stores.values().filter_map(leads);
+        let as_leader =
+            |s: &Store| s.replica.as_ref().map(|r| r.status()).filter(|s| s.role == Role::Leader);
+        let leaders = self.stores.values().filter_map(as_leader);
         leaders.max_by_key(|s| s.term).map(|s| s.store)
     }
 
-    /// One step: time passes, some messages arrive, in any order.
+    /// Advances time by 20 ms and delivers half of the messages, in random order.
     fn step(&mut self) {
         self.now += 20;
         for id in self.stores.keys().copied().collect::<Vec<_>>() {
-            self.with(id, |replica, now| replica.tick(now));
+            self.update(id, |replica, now| replica.tick(now));
         }
         for id in self.stores.keys().copied().collect::<Vec<_>>() {
-            if !self.slow.contains(&id) && self.rng.random_bool(0.7) {
+            if !self.stalled_disks.contains(&id) && self.rng.random_bool(0.7) {
                 self.sync(id);
             }
         }
-        let arriving = self.network.len().div_ceil(2);
-        for _ in 0..arriving {
+        let arrivals = self.network.len().div_ceil(2);
+        for _ in 0..arrivals {
             let at = self.rng.random_range(0..self.network.len());
             let envelope = self.network.swap_remove(at);
-            if self.cut.contains(&(envelope.from, envelope.to)) || self.rng.random_bool(self.loss) {
+            if self.cut_links.contains(&(envelope.from, envelope.to))
+                || self.rng.random_bool(self.loss_rate)
+            {
                 continue;
             }
-            if self.rng.random_bool(self.loss / 2.0) {
+            if self.rng.random_bool(self.loss_rate / 2.0) {
                 self.network.push(envelope.clone());
             }
-            self.with(envelope.to, |replica, now| replica.receive(now, envelope));
+            self.update(envelope.to, |replica, now| replica.receive(now, envelope));
         }
     }
 
@@ -232,11 +234,11 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Everything works again; all must agree before long.
+    /// Ends all faults, restarts all stores, and has the leader append one more command.
     fn heal(&mut self) {
-        self.cut.clear();
-        self.slow.clear();
-        self.loss = 0.0;
+        self.cut_links.clear();
+        self.stalled_disks.clear();
+        self.loss_rate = 0.0;
         for id in self.stores.keys().copied().collect::<Vec<_>>() {
             self.restart(id);
         }
@@ -253,8 +255,8 @@
     }
 
     fn assert_same_state(&self) {
-        // A store whose disk was lost before the group heard of its replacement
-        // is still listed; there is nothing left of it to compare.
+        // A store whose disk was lost before the replacement was committed is still a
+        // member, but has no state to compare.
         let voters: Vec<_> =
             self.voters().into_iter().filter(|v| self.stores.contains_key(v)).collect();
         assert!(!voters.is_empty());
@@ -271,12 +273,12 @@
     Crash(u64),
     Restart(u64),
     Compact(u64),
-    Cut(u64, u64),
-    CutOff(u64),
-    Heal,
+    CutLink(u64, u64),
+    Isolate(u64),
+    RestoreLinks,
     Loss(u8),
-    Slow(u64),
-    Replace(u64),
+    StallDisk(u64),
+    LoseDisk(u64),
     Run(u8),
 }
 
@@ -287,38 +289,38 @@
         2 => id.clone().prop_map(Event::Crash),
         3 => id.clone().prop_map(Event::Restart),
         2 => id.clone().prop_map(Event::Compact),
-        2 => (id.clone(), id.clone()).prop_map(|(a, b)| Event::Cut(a, b)),
-        1 => id.clone().prop_map(Event::CutOff),
-        2 => Just(Event::Heal),
+        2 => (id.clone(), id.clone()).prop_map(|(a, b)| Event::CutLink(a, b)),
+        1 => id.clone().prop_map(Event::Isolate),
+        2 => Just(Event::RestoreLinks),
         2 => (0u8..30).prop_map(Event::Loss),
-        1 => id.clone().prop_map(Event::Slow),
-        1 => id.prop_map(Event::Replace),
+        1 => id.clone().prop_map(Event::StallDisk),
+        1 => id.prop_map(Event::LoseDisk),
         8 => (1u8..60).prop_map(Event::Run),
     ]
 }
 
-/// A disk is lost: the host is back with a new store, and the group is asked to
-/// let it take the old one's place.
-fn replace(group: &mut Group, id: StoreId) {
+/// Loses a store's disk: its host comes back with a new store, which is added as a learner
+/// that replaces the old one.
+fn lose_disk(group: &mut Group, id: StoreId) {
     let Some(leader) = group.leader().filter(|l| *l != id) else { return };
     let status = group.stores[&leader].replica.as_ref().unwrap().status();
-    let settled = status.members.iter().all(|m| m.voter && group.stores.contains_key(&m.store));
-    // More lost disks than a minority cannot be survived by any protocol.
-    if !settled || !status.members.iter().any(|m| m.store == id) {
+    let is_stable = status.members.iter().all(|m| m.voter && group.stores.contains_key(&m.store));
+    // No protocol survives the loss of a majority of the disks.
+    if !is_stable || !status.members.iter().any(|m| m.store == id) {
         return;
     }
-    let fresh = StoreId(group.stores.keys().last().unwrap().0 + 1);
+    let new = StoreId(group.stores.keys().last().unwrap().0 + 1);
     let mut members = status.members;
-    members.push(member(fresh.0, false, Some(id)));
+    members.push(member(new.0, false, Some(id)));
     let now = group.now;
     let replica = group.stores.get_mut(&leader).unwrap().replica.as_mut().unwrap();
     let Ok(Some(out)) = replica.change_members(now, members) else { return };
     group.carry_out(leader, out);
     group.stores.remove(&id);
-    group.start(fresh, Disk::default());
+    group.start(new, Disk::default());
 }
 
-fn happen(group: &mut Group, event: Event) {
+fn apply_event(group: &mut Group, event: Event) {
     match event {
         Event::Propose(id) => {
             let to = if id % 2 == 0 { group.leader().unwrap_or(StoreId(id)) } else { StoreId(id) };
@@ -327,21 +329,21 @@
         Event::Crash(id) => group.crash(StoreId(id)),
         Event::Restart(id) => group.restart(StoreId(id)),
         Event::Compact(id) => group.compact(StoreId(id)),
-        Event::Cut(a, b) => {
-            group.cut.insert((StoreId(a), StoreId(b)));
+        Event::CutLink(a, b) => {
+            group.cut_links.insert((StoreId(a), StoreId(b)));
         }
-        Event::CutOff(id) => {
+        Event::Isolate(id) => {
             for other in group.stores.keys().copied().collect::<Vec<_>>() {
-                group.cut.insert((StoreId(id), other));
-                group.cut.insert((other, StoreId(id)));
+                group.cut_links.insert((StoreId(id), other));
+                group.cut_links.insert((other, StoreId(id)));
             }
         }
-        Event::Heal => group.cut.clear(),
-        Event::Loss(percent) => group.loss = f64::from(percent) / 100.0,
-        Event::Slow(id) => {
-            group.slow.insert(StoreId(id));
+        Event::RestoreLinks => group.cut_links.clear(),
+        Event::Loss(percent) => group.loss_rate = f64::from(percent) / 100.0,
+        Event::StallDisk(id) => {
+            group.stalled_disks.insert(StoreId(id));
         }
-        Event::Replace(id) => replace(group, StoreId(id)),
+        Event::LoseDisk(id) => lose_disk(group, StoreId(id)),
         Event::Run(steps) => group.run(steps.into()),
     }
 }
@@ -349,10 +351,10 @@
 proptest! {
     #![proptest_config(crate::testing::property(64))]
 
-    /// One leader a term, and no committed entry lost or changed, whatever
-    /// happens; after healing all stores hold the same state.
+    /// Under any sequence of faults each term has at most one leader and no committed entry
+    /// is lost or changed; after the faults end, all voters reach the same state.
     #[test]
-    fn agreement_holds_under_faults(
+    fn log_stays_consistent_under_faults(
         size in prop_oneof![Just(3u64), Just(5)],
         seed in any::<u64>(),
         events in proptest::collection::vec(event(), 0..60),
@@ -360,7 +362,7 @@
         let mut group = Group::new(size, seed);
         group.run(100);
         for event in events {
-            happen(&mut group, event);
+            apply_event(&mut group, event);
         }
         group.heal();
         group.assert_same_state();
@@ -368,13 +370,13 @@
 }
 
 #[test]
-fn a_leader_cut_off_in_silence_neither_accepts_nor_disturbs() {
+fn a_partitioned_leader_steps_down_and_forces_no_election_when_healed() {
     let mut group = Group::new(3, 7);
     group.run(150);
     let old = group.leader().unwrap();
     for other in [1, 2, 3].map(StoreId) {
-        group.cut.insert((old, other));
-        group.cut.insert((other, old));
+        group.cut_links.insert((old, other));
+        group.cut_links.insert((other, old));
     }
     group.propose(old);
     let (_, _, index) = *group.accepted.last().unwrap();
@@ -383,14 +385,14 @@
     assert_ne!(group.stores[&old].replica.as_ref().unwrap().status().role, Role::Leader);
     let new = group.leader().unwrap();
     let term = group.stores[&new].replica.as_ref().unwrap().status().term;
-    group.cut.clear();
+    group.cut_links.clear();
     group.run(200);
     assert_eq!(group.leader(), Some(new));
     assert_eq!(group.stores[&new].replica.as_ref().unwrap().status().term, term);
 }
 
 #[test]
-fn split_votes_end() {
+fn a_leader_is_elected_after_split_votes() {
     for seed in 0..20 {
         let mut group = Group::new(5, seed);
         group.run(300);
@@ -399,7 +401,7 @@
 }
 
 #[test]
-fn a_store_that_lost_its_disk_counts_only_after_it_has_caught_up() {
+fn a_store_that_replaces_a_lost_disk_votes_only_after_it_has_caught_up() {
     let mut group = Group::new(3, 3);
     group.run(150);
     let leader = group.leader().unwrap();
@@ -408,17 +410,17 @@
         group.propose(leader);
         group.run(2);
     }
-    // The newcomer is let in but hears nothing yet.
-    group.cut.insert((leader, StoreId(4)));
-    replace(&mut group, lost);
+    // The new store is a learner, but the leader's messages don't reach it yet.
+    group.cut_links.insert((leader, StoreId(4)));
+    lose_disk(&mut group, lost);
     group.run(100);
     let status = group.stores[&leader].replica.as_ref().unwrap().status();
     assert!(!status.members.iter().find(|m| m.store == StoreId(4)).unwrap().voter);
-    group.cut.clear();
+    group.cut_links.clear();
     group.run(100);
     let voters = group.voters();
     assert!(voters.contains(&StoreId(4)) && !voters.contains(&lost));
-    // A second host is lost right after: the newcomer carries the majority.
+    // A second store is lost right after: now the new one is needed for the quorum.
     let second = voters.iter().find(|v| **v != StoreId(4) && **v != leader).copied().unwrap();
     group.crash(second);
     group.propose(leader);
@@ -427,31 +429,31 @@
 }
 
 #[test]
-fn a_message_for_an_earlier_store_of_the_host_is_not_taken() {
+fn a_message_for_another_store_is_ignored() {
     let mut replica =
         Replica::new(0, StoreId(9), HardState::default(), Snapshot::default(), vec![], 1);
-    let message = Message::Vote { pre: false, last_index: 1, last_term: 1 };
+    let message = Message::RequestVote { pre_vote: false, last_index: 1, last_term: 1 };
     let envelope = Envelope { from: StoreId(1), to: StoreId(3), term: 2, message };
     assert_eq!(replica.receive(0, envelope), Output::default());
 }
 
 #[test]
-fn a_read_waits_for_a_majority_that_still_follows() {
+fn a_read_waits_for_the_acknowledgement_of_a_quorum() {
     let mut group = Group::new(3, 11);
     group.run(150);
     let leader = group.leader().unwrap();
     let replica = group.stores.get_mut(&leader).unwrap().replica.as_mut().unwrap();
     let out = replica.read(group.now, 5).unwrap();
     assert!(out.reads.is_empty());
-    let replies: Vec<_> = out.messages.clone();
-    for envelope in replies {
+    let requests: Vec<_> = out.messages.clone();
+    for envelope in requests {
         let to = envelope.to;
         let now = group.now;
         let answer =
             group.stores.get_mut(&to).unwrap().replica.as_mut().unwrap().receive(now, envelope);
-        for back in answer.messages {
+        for response in answer.messages {
             let replica = group.stores.get_mut(&leader).unwrap().replica.as_mut().unwrap();
-            if replica.receive(now, back).reads == [5] {
+            if replica.receive(now, response).reads == [5] {
                 return;
             }
         }
@@ -460,7 +462,7 @@
 }
 
 #[test]
-fn a_read_that_comes_before_a_lone_leader_has_its_first_entry_on_disk_is_answered() {
+fn a_read_before_the_first_sync_of_a_single_store_group_is_answered_after_it() {
     let mut group = Group::new(1, 11);
     let store = group.stores.get_mut(&StoreId(1)).unwrap();
     let replica = store.replica.as_mut().unwrap();
@@ -469,15 +471,15 @@
         replica.role() == Role::Leader
     });
     let out = replica.read(elected.unwrap(), 5).unwrap();
-    assert!(out.reads.is_empty(), "its own term has committed nothing yet");
+    assert!(out.reads.is_empty(), "nothing of its own term is committed yet");
     let (index, term) = replica.last_entry();
     assert_eq!(replica.record_synced(index, term).reads, [5]);
 }
 
-/// Stores that have started again know the leader before they know what was committed: what
-/// they have applied until then may be older than what was accepted.
+/// Stores that have restarted know the leader before they know the commit index. Until then
+/// the state that they have applied may be older than accepted commands.
 #[test]
-fn a_store_that_has_started_again_has_caught_up_once_it_knows_all_that_was_committed() {
+fn a_restarted_store_has_caught_up_once_it_has_every_earlier_commit() {
     let mut group = Group::new(3, 7);
     group.run(150);
     let leader = group.leader().unwrap();
@@ -489,23 +491,23 @@
     let ids = [1, 2, 3].map(StoreId);
     ids.iter().for_each(|id| group.crash(*id));
     ids.iter().for_each(|id| group.restart(*id));
-    let mut knew_the_leader_only = false;
+    let mut knew_only_the_leader = false;
     for _ in 0..300 {
         group.run(1);
         for id in ids {
             let replica = group.stores[&id].replica.as_ref().unwrap();
             match replica.has_caught_up() {
                 true => assert!(replica.status().commit >= committed),
-                false => knew_the_leader_only |= replica.leader().is_some(),
+                false => knew_only_the_leader |= replica.leader().is_some(),
             }
         }
     }
-    assert!(knew_the_leader_only, "the case did not come about");
+    assert!(knew_only_the_leader, "no store knew the leader before the commit index");
     assert!(ids.iter().all(|id| group.stores[id].replica.as_ref().unwrap().has_caught_up()));
 }
 
 #[test]
-fn a_snapshot_that_covers_nothing_new_is_not_written() {
+fn a_snapshot_without_new_entries_is_not_written() {
     let mut group = Group::new(3, 5);
     group.run(150);
     let leader = group.leader().unwrap();
@@ -515,18 +517,18 @@
 }
 
 #[test]
-fn a_leader_whose_disk_hangs_commits_by_its_followers_disks() {
+fn a_leader_with_a_stalled_disk_commits_entries_synced_by_its_followers() {
     let mut group = Group::new(3, 13);
     group.run(150);
     let leader = group.leader().unwrap();
-    group.slow.insert(leader);
+    group.stalled_disks.insert(leader);
     group.propose(leader);
     let (_, _, index) = *group.accepted.last().unwrap();
     group.run(50);
     assert!(group.committed.contains_key(&index));
-    // What only a hanging disk has seen is not committed.
+    // An entry that is not synced on any disk is not committed.
     let others = [1, 2, 3].map(StoreId).into_iter().filter(|s| *s != leader);
-    group.slow.extend(others);
+    group.stalled_disks.extend(others);
     group.propose(leader);
     let (_, _, index) = *group.accepted.last().unwrap();
     group.run(20);
@@ -534,7 +536,7 @@
 }
 
 #[test]
-fn a_newcomer_takes_the_place_of_a_voter_long_silent_and_waits_otherwise() {
+fn a_learner_replaces_a_silent_voter_and_waits_while_all_are_reachable() {
     let mut group = Group::new(3, 17);
     group.run(150);
     let leader = group.leader().unwrap();
@@ -546,10 +548,10 @@
     group.carry_out(leader, out);
     group.start(StoreId(4), Disk::default());
     group.run(300);
-    assert!(!group.voters().contains(&StoreId(4)), "three voters are there and heard");
-    let gone = [1, 2, 3].map(StoreId).into_iter().find(|s| *s != leader).unwrap();
-    group.crash(gone);
+    assert!(!group.voters().contains(&StoreId(4)), "all three voters are reachable");
+    let crashed = [1, 2, 3].map(StoreId).into_iter().find(|s| *s != leader).unwrap();
+    group.crash(crashed);
     group.run(300);
     let voters = group.voters();
-    assert!(voters.contains(&StoreId(4)) && !voters.contains(&gone));
+    assert!(voters.contains(&StoreId(4)) && !voters.contains(&crashed));
 }
