--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,8 +1,8 @@
-//! Calls that may not be repeated: who claimed which, and how it ended.
+//! Claims on the idempotency keys of calls that must not run twice, and how those calls ended.
 //!
-//! Before the first byte of such a call leaves for an endpoint, its router
-//! claims the customer's idempotency key. The table is part of the state that
-//! control hosts agree on, so a claim outlives routers and single control hosts.
+//! A router claims the customer's idempotency key before it sends the first byte of
+//! such a call to an endpoint. The table is part of the replicated state of the control
+//! hosts, so a claim survives the loss of its router and of single control hosts.
 
 mod client;
 mod table;
--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -1,4 +1,4 @@
-//! A router's connection to the leader's table of claims.
+//! A router's client of the claim table, which the leader of the control hosts serves.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,45 +11,53 @@
 use crate::peer::Peers;
 use crate::wire::{BatchWriter, Heartbeat, HostId, Open, Role};
 
-/// How long to wait before asking again when there is no leader.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How long a connection may answer nothing while something is asked.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// How long a settlement is repeated until it is taken.
-const SETTLE_FOR: Duration = Duration::from_secs(600);
+/// How long to wait before the next attempt when there is no leader.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long a host may answer nothing while requests are pending.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a settlement is retried until it is acknowledged.
+const MAX_SETTLE_TIME: Duration = Duration::from_secs(600);
 
-struct Asking {
+struct PendingRequest {
     claim: Claim,
     ask: Ask,
-    until: tokio::time::Instant,
+    expires_at: tokio::time::Instant,
     reply: oneshot::Sender<Asked>,
 }
 
-/// Asks the leader about claims; asks again where an answer was lost.
+/// Sends claim requests to the leader, and repeats those whose answer was lost.
 #[derive(Clone, Debug)]
-pub struct ClaimClient(mpsc::UnboundedSender<Asking>);
+pub struct ClaimClient(mpsc::UnboundedSender<PendingRequest>);
 
 impl ClaimClient {
-    /// Starts the connection's task; it connects at the first request.
+    /// Starts the background task, which connects at the first request.
     pub fn start(peers: Arc<Peers>) -> ClaimClient {
         let (sender, requests) = mpsc::unbounded_channel();
-        let task = Task { peers, requests, open: BTreeMap::new(), next: 0, leader: None, turn: 0 };
+        let task = ClientTask {
+            peers,
+            requests,
+            pending: BTreeMap::new(),
+            last_number: 0,
+            leader: None,
+            rotation: 0,
+        };
         tokio::spawn(task.run());
         ClaimClient(sender)
     }
 
-    /// How a key stands, without claiming it; none when nobody says in time.
+    /// The state of a key, without claiming it; none if no attempt holds it or no host
+    /// answers within `limit`.
     pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
-        match self.ask(claim, Ask::Look, limit).await? {
+        match self.send_request(claim, Ask::Look, limit).await? {
             Asked::Claimed(claimed) => Some(claimed),
             _ => None,
         }
     }
 
-    /// Claims a key. None when the claim was not decided in time; it is then
-    /// given back in the background, and its call must not run.
+    /// Claims a key. None if the claim was not decided within `limit`: the call must not
+    /// run then, and the claim is released in the background.
     pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
-        match self.ask(claim.clone(), Ask::Claim, limit).await {
+        match self.send_request(claim.clone(), Ask::Claim, limit).await {
             Some(Asked::Claimed(claimed)) => Some(claimed),
             _ => {
                 drop(self.settle(claim, Settlement::NotRun));
@@ -58,99 +66,100 @@
         }
     }
 
-    /// Settles a claim and waits until that is taken, at most for `limit`; after
-    /// it the settling goes on in the background.
+    /// Settles a claim and waits for the acknowledgement, at most for `limit`; after that
+    /// the settlement is retried in the background.
     pub async fn settle_and_wait(&self, claim: Claim, settlement: Settlement, limit: Duration) {
-        let taken = self.settle(claim, settlement);
-        let _ = tokio::time::timeout(limit, taken).await;
+        let settled = self.settle(claim, settlement);
+        let _ = tokio::time::timeout(limit, settled).await;
     }
 
-    /// Settles a claim in the background, until it is taken.
+    /// Settles a claim in the background.
     fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<Asked> {
-        let (reply, taken) = oneshot::channel();
-        let until = tokio::time::Instant::now() + SETTLE_FOR;
+        let (reply, settled) = oneshot::channel();
+        let expires_at = tokio::time::Instant::now() + MAX_SETTLE_TIME;
         let ask = Ask::Settle(settlement);
-        // The task runs as long as the process.
-        let _ = self.0.send(Asking { claim, ask, until, reply });
-        taken
+        // Sending cannot fail: the task runs as long as the process.
+        let _ = self.0.send(PendingRequest { claim, ask, expires_at, reply });
+        settled
     }
 
-    async fn ask(&self, claim: Claim, ask: Ask, limit: Duration) -> Option<Asked> {
+    async fn send_request(&self, claim: Claim, ask: Ask, limit: Duration) -> Option<Asked> {
         let (reply, receiver) = oneshot::channel();
-        let until = tokio::time::Instant::now() + limit;
-        self.0.send(Asking { claim, ask, until, reply }).ok()?;
+        let expires_at = tokio::time::Instant::now() + limit;
+        self.0.send(PendingRequest { claim, ask, expires_at, reply }).ok()?;
         tokio::time::timeout(limit, receiver).await.ok()?.ok()
     }
 }
 
-struct Task {
+struct ClientTask {
     peers: Arc<Peers>,
-    requests: mpsc::UnboundedReceiver<Asking>,
-    open: BTreeMap<u64, Asking>,
-    next: u64,
+    requests: mpsc::UnboundedReceiver<PendingRequest>,
+    pending: BTreeMap<u64, PendingRequest>,
+    last_number: u64,
     leader: Option<HostId>,
-    turn: usize,
+    rotation: usize,
 }
 
-impl Task {
+impl ClientTask {
     async fn run(mut self) {
         loop {
-            if self.open.is_empty() {
-                let Some(asking) = self.requests.recv().await else {
+            if self.pending.is_empty() {
+                let Some(request) = self.requests.recv().await else {
                     return;
                 };
-                self.take(asking);
+                self.enqueue(request);
             }
             match self.target() {
-                Some(target) => self.converse(target).await,
-                None => self.wait().await,
+                Some(target) => self.query_host(target).await,
+                None => self.wait_for_host().await,
             }
             self.drop_expired();
         }
     }
 
-    fn take(&mut self, asking: Asking) -> u64 {
-        self.next += 1;
-        self.open.insert(self.next, asking);
-        self.next
+    fn enqueue(&mut self, request: PendingRequest) -> u64 {
+        self.last_number += 1;
+        self.pending.insert(self.last_number, request);
+        self.last_number
     }
 
     fn drop_expired(&mut self) {
         let now = tokio::time::Instant::now();
-        self.open.retain(|_, asking| asking.until > now);
+        self.pending.retain(|_, request| request.expires_at > now);
     }
 
-    /// The leader, where known; otherwise the control hosts in turn.
+    /// The leader, if known; otherwise the next control host in rotation.
     fn target(&mut self) -> Option<Heartbeat> {
         let view = self.peers.view();
-        let control: Vec<_> = view.with_role(Role::Control).collect();
-        if let Some(leader) = control.iter().find(|m| Some(m.host) == self.leader) {
+        let hosts: Vec<_> = view.with_role(Role::Control).collect();
+        if let Some(leader) = hosts.iter().find(|m| Some(m.host) == self.leader) {
             return Some((*leader).clone());
         }
-        self.turn += 1;
-        let at = self.turn % control.len().max(1);
-        control.get(at).map(|m| (*m).clone())
+        self.rotation += 1;
+        let index = self.rotation % hosts.len().max(1);
+        hosts.get(index).map(|m| (*m).clone())
     }
 
-    /// Nobody can be asked: requests wait until they expire.
-    async fn wait(&mut self) {
-        tokio::time::sleep(PAUSE).await;
-        while let Ok(asking) = self.requests.try_recv() {
-            self.take(asking);
+    /// Waits before the next attempt, while no host can be reached.
+    async fn wait_for_host(&mut self) {
+        tokio::time::sleep(RETRY_DELAY).await;
+        while let Ok(request) = self.requests.try_recv() {
+            self.enqueue(request);
         }
     }
 
-    /// Asks one host until it does not lead, falls silent or breaks off.
-    async fn converse(&mut self, target: Heartbeat) {
+    /// Sends requests to one host until it is not the leader, stops answering or closes the
+    /// connection.
+    async fn query_host(&mut self, target: Heartbeat) {
         let host = target.host;
-        let open = Open::Claims { router: self.peers.me };
-        let connected = match self.peers.links.is_cut(host) {
+        let first_frame = Open::Claims { router: self.peers.me };
+        let connection = match self.peers.links.is_cut(host) {
             true => None,
-            false => self.peers.connect(target.peer, &open).await.ok(),
+            false => self.peers.connect(target.peer, &first_frame).await.ok(),
         };
-        let Some((mut reader, writer)) = connected else {
+        let Some((mut reader, writer)) = connection else {
             self.leader = None;
-            return self.wait().await;
+            return self.wait_for_host().await;
         };
         let (out, batch) = BatchWriter::new(Some(self.peers.sent.clone()));
         let links = self.peers.links.clone();
@@ -159,84 +168,84 @@
             async move { links.clear_to(host).await }
         }));
         let (sender, mut answers) = mpsc::unbounded_channel();
-        let reading = tokio::spawn(async move {
+        let reader_task = tokio::spawn(async move {
             while let Ok(batch) = reader.next::<Vec<ClaimAnswer>>().await {
                 if sender.send(batch).is_err() {
                     return;
                 }
             }
         });
-        for (number, asking) in &self.open {
-            // A broken connection is noticed by its reader.
-            let _ = out.send(asking.request(*number).into());
+        for (number, request) in &self.pending {
+            // The reader notices a broken connection.
+            let _ = out.send(request.to_message(*number).into());
         }
-        let mut heard = tokio::time::Instant::now();
+        let mut waiting_since = tokio::time::Instant::now();
         loop {
-            let silent_at = heard + SILENCE;
+            let timeout_at = waiting_since + ANSWER_TIMEOUT;
             tokio::select! {
-                asking = self.requests.recv() => {
-                    let Some(asking) = asking else { break };
-                    if self.open.is_empty() {
-                        heard = tokio::time::Instant::now();
+                request = self.requests.recv() => {
+                    let Some(request) = request else { break };
+                    if self.pending.is_empty() {
+                        waiting_since = tokio::time::Instant::now();
                     }
-                    let number = self.take(asking);
-                    let _ = out.send(self.open[&number].request(number).into());
+                    let number = self.enqueue(request);
+                    let _ = out.send(self.pending[&number].to_message(number).into());
                 }
                 batch = answers.recv() => {
                     let Some(batch) = batch else { break };
-                    heard = tokio::time::Instant::now();
-                    if !self.answered(host, batch) {
+                    waiting_since = tokio::time::Instant::now();
+                    if !self.on_answers(host, batch) {
                         break;
                     }
                 }
-                () = tokio::time::sleep_until(silent_at) => {
-                    let unanswered = self.open.len();
+                () = tokio::time::sleep_until(timeout_at) => {
+                    let unanswered = self.pending.len();
                     self.drop_expired();
                     if unanswered > 0 {
                         log::info!(
-                            "claim: control host {host} is silent, {unanswered} requests unanswered"
+                            "claim: no answer from control host {host} to {unanswered} requests"
                         );
                         self.leader = None;
                         break;
                     }
-                    heard = tokio::time::Instant::now();
+                    waiting_since = tokio::time::Instant::now();
                 }
             }
         }
-        reading.abort();
-        if !self.open.is_empty() {
-            self.wait().await;
+        reader_task.abort();
+        if !self.pending.is_empty() {
+            self.wait_for_host().await;
         }
     }
 
-    /// Whether the host that answered still leads.
-    fn answered(&mut self, host: HostId, batch: Vec<ClaimAnswer>) -> bool {
-        let mut leads = true;
+    /// Passes answers on to the callers. Returns whether the host is still the leader.
+    fn on_answers(&mut self, host: HostId, batch: Vec<ClaimAnswer>) -> bool {
+        let mut still_leads = true;
         for ClaimAnswer { number, asked } in batch {
             match asked {
                 Asked::Elsewhere(leader) => {
                     self.leader = leader;
-                    leads = false;
+                    still_leads = false;
                 }
                 Asked::Uncertain => {
                     self.leader = None;
-                    leads = false;
+                    still_leads = false;
                 }
                 asked => {
                     self.leader = Some(host);
-                    if let Some(asking) = self.open.remove(&number) {
-                        // The asker may have left.
-                        let _ = asking.reply.send(asked);
+                    if let Some(request) = self.pending.remove(&number) {
+                        // The caller may have timed out.
+                        let _ = request.reply.send(asked);
                     }
                 }
             }
         }
-        leads
+        still_leads
     }
 }
 
-impl Asking {
-    fn request(&self, number: u64) -> ClaimRequest {
+impl PendingRequest {
+    fn to_message(&self, number: u64) -> ClaimRequest {
         ClaimRequest { number, claim: self.claim.clone(), ask: self.ask.clone() }
     }
 }
--- a/src/claim/table.rs
+++ b/src/claim/table.rs
@@ -1,4 +1,4 @@
-//! The table of claims, a deterministic state machine.
+//! The claim table, a deterministic state machine.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,11 +8,11 @@
 use crate::config::CustomerId;
 use crate::wire::HostId;
 
-/// Milliseconds for which a claim is remembered.
+/// Milliseconds for which a claim is kept.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 3_600_000;
-/// Milliseconds for which a recorded answer is kept with it.
+/// Milliseconds for which a recorded answer is kept with its claim, counted from the claim.
 pub const ANSWER_RETENTION_MS: u64 = 3_600_000;
-/// The largest answer that is recorded, in bytes.
+/// The largest answer body that is recorded, in bytes.
 pub const MAX_RECORDED_ANSWER_BYTES: usize = 16 << 10;
 
 /// One router's attempt to run a call.
@@ -20,26 +20,26 @@
 pub struct Attempt {
     /// The router.
     pub router: HostId,
-    /// Its incarnation; a claim of an ended one is nobody's.
+    /// The router's incarnation. No attempt of an incarnation that has ended is still running.
     pub incarnation: u64,
-    /// Its number for the request.
+    /// The router's number for the request.
     pub seq: u64,
 }
 
-/// A router claims a customer's key.
+/// A router's claim on a customer's idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The customer.
     pub customer: CustomerId,
     /// The idempotency key.
     pub key: String,
-    /// Hash of the call, so that a key is not used for two.
+    /// Hash of the call ([`fingerprint`]), to detect a key that is reused for another call.
     pub fingerprint: u64,
-    /// Who claims it.
+    /// The attempt that claims the key.
     pub attempt: Attempt,
 }
 
-/// An answer kept for resends.
+/// A recorded answer, replayed when the caller resends the call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     /// The HTTP status.
@@ -53,52 +53,52 @@
 /// How a claimed call ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Settlement {
-    /// It was answered; the answer is kept if it is small enough.
+    /// It was answered; the answer, if it is small enough to record.
     Answered(Option<RecordedAnswer>),
-    /// It certainly did not run: the key is free again.
+    /// It certainly did not run: the key is released.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// What a claim gets.
+/// The outcome of a claim or a look-up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
     /// The router may run the call.
     Granted,
-    /// Another attempt holds it.
+    /// Another attempt holds the key.
     Running(Attempt),
-    /// It was answered; the answer, if it is still kept.
+    /// The call was answered; the answer, if it is still recorded.
     Answered(Option<RecordedAnswer>),
-    /// An earlier attempt may have run it.
+    /// An earlier attempt may have run the call.
     Unknown,
-    /// The key was used for another call.
+    /// The key belongs to another call.
     OtherCall,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum State {
+enum ClaimState {
     Running(Attempt),
     Answered(Option<RecordedAnswer>),
     Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Held {
+struct ClaimEntry {
     fingerprint: u64,
-    state: State,
+    state: ClaimState,
 }
 
-impl Held {
-    fn answer(&self, claim: &Claim) -> ClaimOutcome {
+impl ClaimEntry {
+    fn outcome_for(&self, claim: &Claim) -> ClaimOutcome {
         if self.fingerprint != claim.fingerprint {
             return ClaimOutcome::OtherCall;
         }
         match &self.state {
-            State::Running(attempt) if *attempt == claim.attempt => ClaimOutcome::Granted,
-            State::Running(attempt) => ClaimOutcome::Running(*attempt),
-            State::Answered(answer) => ClaimOutcome::Answered(answer.clone()),
-            State::Unknown => ClaimOutcome::Unknown,
+            ClaimState::Running(attempt) if *attempt == claim.attempt => ClaimOutcome::Granted,
+            ClaimState::Running(attempt) => ClaimOutcome::Running(*attempt),
+            ClaimState::Answered(answer) => ClaimOutcome::Answered(answer.clone()),
+            ClaimState::Unknown => ClaimOutcome::Unknown,
         }
     }
 }
@@ -106,92 +106,95 @@
 /// All claims of the last [`CLAIM_RETENTION_MS`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTable {
-    held: HashMap<u128, Held>,
-    /// Claims by age, for forgetting answers and then keys.
+    entries: HashMap<u128, ClaimEntry>,
+    /// When each claim was made and its key, oldest first: to expire answers, then claims.
     answers_by_age: VecDeque<(u64, u128)>,
     keys_by_age: VecDeque<(u64, u128)>,
     newest_ms: u64,
 }
 
 impl ClaimTable {
-    /// Claims held.
+    /// The number of claims.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.entries.len()
     }
 
-    /// Whether no claim is held.
+    /// Whether there is no claim.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Claims a key at `at_ms`, the leader's wall clock.
+    /// Claims a key at `at_ms`, the leader's wall clock in milliseconds since the epoch.
     pub fn claim(&mut self, at_ms: u64, claim: &Claim) -> ClaimOutcome {
-        self.forget(at_ms);
-        let id = id_of(claim.customer, &claim.key);
-        let Some(held) = self.held.get(&id) else {
-            let state = State::Running(claim.attempt);
+        self.expire(at_ms);
+        let id = key_id(claim.customer, &claim.key);
+        let Some(entry) = self.entries.get(&id) else {
+            let state = ClaimState::Running(claim.attempt);
             let fingerprint = claim.fingerprint;
-            self.held.insert(id, Held { fingerprint, state });
+            self.entries.insert(id, ClaimEntry { fingerprint, state });
             self.answers_by_age.push_back((self.newest_ms, id));
             self.keys_by_age.push_back((self.newest_ms, id));
             return ClaimOutcome::Granted;
         };
-        held.answer(claim)
+        entry.outcome_for(claim)
     }
 
-    /// How a key stands, without claiming it; none when nobody holds it.
+    /// The state of a key, without claiming it; none if it is not claimed.
     pub fn lookup(&self, claim: &Claim) -> Option<ClaimOutcome> {
-        let held = self.held.get(&id_of(claim.customer, &claim.key))?;
-        Some(held.answer(claim))
+        let entry = self.entries.get(&key_id(claim.customer, &claim.key))?;
+        Some(entry.outcome_for(claim))
     }
 
-    /// Settles a claim that `claim.attempt` holds; others are left alone.
+    /// Settles a claim if `claim.attempt` holds it and it is still running.
     pub fn settle(&mut self, at_ms: u64, claim: &Claim, settlement: Settlement) {
-        self.forget(at_ms);
-        let id = id_of(claim.customer, &claim.key);
-        let Some(held) = self.held.get_mut(&id) else {
+        self.expire(at_ms);
+        let id = key_id(claim.customer, &claim.key);
+        let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
-        if held.state != State::Running(claim.attempt) {
+        if entry.state != ClaimState::Running(claim.attempt) {
             return;
         }
         match settlement {
             Settlement::NotRun => {
-                self.held.remove(&id);
+                self.entries.remove(&id);
                 self.answers_by_age.retain(|(_, other)| *other != id);
                 self.keys_by_age.retain(|(_, other)| *other != id);
             }
-            Settlement::Answered(answer) => held.state = State::Answered(answer),
-            Settlement::Unknown => held.state = State::Unknown,
+            Settlement::Answered(answer) => entry.state = ClaimState::Answered(answer),
+            Settlement::Unknown => entry.state = ClaimState::Unknown,
         }
     }
 
-    /// Time never runs backwards here, whatever leaders' clocks say.
-    fn forget(&mut self, at_ms: u64) {
+    /// Removes expired answers and claims. The clock never runs backwards, even if a new
+    /// leader's wall clock is behind that of the previous one.
+    fn expire(&mut self, at_ms: u64) {
         self.newest_ms = self.newest_ms.max(at_ms);
-        let expired = |age: &VecDeque<(u64, u128)>, kept: u64| {
-            age.front().is_some_and(|(at, _)| at + kept <= self.newest_ms)
+        let is_expired = |queue: &VecDeque<(u64, u128)>, retention: u64| {
+            queue.front().is_some_and(|(at, _)| at + retention <= self.newest_ms)
         };
-        while expired(&self.answers_by_age, ANSWER_RETENTION_MS) {
+        while is_expired(&self.answers_by_age, ANSWER_RETENTION_MS) {
             let Some((_, id)) = self.answers_by_age.pop_front() else { break };
-            if let Some(Held { state: State::Answered(answer), .. }) = self.held.get_mut(&id) {
+            if let Some(ClaimEntry { state: ClaimState::Answered(answer), .. }) =
+                self.entries.get_mut(&id)
+            {
                 *answer = None;
             }
         }
-        while expired(&self.keys_by_age, CLAIM_RETENTION_MS) {
+        while is_expired(&self.keys_by_age, CLAIM_RETENTION_MS) {
             let Some((_, id)) = self.keys_by_age.pop_front() else { break };
-            self.held.remove(&id);
+            self.entries.remove(&id);
         }
     }
 }
 
-fn id_of(customer: CustomerId, key: &str) -> u128 {
+fn key_id(customer: CustomerId, key: &str) -> u128 {
     let mut bytes = customer.0.to_be_bytes().to_vec();
     bytes.extend_from_slice(key.as_bytes());
     xxh3_128(&bytes)
 }
 
-/// The fingerprint of a call.
+/// The hash of a call by which its claims are compared.
 pub fn fingerprint(service: &str, method: &str, path: &str, body: &[u8]) -> u64 {
     let mut bytes = Vec::with_capacity(service.len() + method.len() + path.len() + body.len() + 3);
     for part in [service, method, path] {
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn only_the_holder_can_free_a_key() {
+fn only_the_holder_can_release_a_key() {
     let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     table.settle(0, &claim(2, "k"), Settlement::NotRun);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn answers_are_forgotten_before_keys() {
+fn answers_expire_before_claims() {
     let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     table.settle(0, &claim(1, "k"), Settlement::Answered(Some(answer("a"))));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_clock_that_runs_backwards_frees_nothing() {
+fn a_clock_that_runs_backwards_releases_nothing() {
     let mut table = ClaimTable::default();
     table.claim(CLAIM_RETENTION_MS, &claim(1, "k"));
     table.claim(0, &claim(5, "other"));
@@ -73,16 +73,16 @@
 #[derive(Clone, Debug)]
 enum Step {
     Claim { attempt: u64, key: u8 },
-    Settle { attempt: u64, key: u8, how: u8 },
+    Settle { attempt: u64, key: u8, outcome: u8 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0u64..8, 0u8..3).prop_map(|(attempt, key)| Step::Claim { attempt, key }),
-        (0u64..8, 0u8..3, 0u8..3).prop_map(|(attempt, key, how)| Step::Settle {
+        (0u64..8, 0u8..3, 0u8..3).prop_map(|(attempt, key, outcome)| Step::Settle {
             attempt,
             key,
-            how
+            outcome
         }),
     ]
 }
@@ -90,32 +90,32 @@
 proptest! {
     #![proptest_config(crate::testing::property(128))]
 
-    /// However claims and settlements are doubled, reordered or late: between
-    /// two grants to different attempts, the first said that it did not run.
+    /// With duplicated, reordered and delayed claims and settlements, a key is granted to a
+    /// second attempt only after the first has reported that the call did not run.
     #[test]
-    fn a_key_is_never_granted_twice_unless_freed(steps in proptest::collection::vec(step(), 0..80)) {
+    fn a_key_is_granted_once_unless_released(steps in proptest::collection::vec(step(), 0..80)) {
         let mut table = ClaimTable::default();
-        let mut holder: [Option<u64>; 3] = [None; 3];
+        let mut holders: [Option<u64>; 3] = [None; 3];
         for step in steps {
             match step {
                 Step::Claim { attempt, key } => {
                     let granted = table.claim(0, &claim(attempt, &key.to_string()));
                     if granted == ClaimOutcome::Granted {
-                        let held = holder[key as usize].replace(attempt);
-                        prop_assert!(held.is_none() || held == Some(attempt));
+                        let previous = holders[key as usize].replace(attempt);
+                        prop_assert!(previous.is_none() || previous == Some(attempt));
                     }
                 }
-                Step::Settle { attempt, key, how } => {
-                    let settlement = match how {
+                Step::Settle { attempt, key, outcome } => {
+                    let settlement = match outcome {
                         0 => Settlement::NotRun,
                         1 => Settlement::Unknown,
                         _ => Settlement::Answered(None),
                     };
-                    let freed = settlement == Settlement::NotRun;
+                    let releases = settlement == Settlement::NotRun;
                     let before = table.clone();
                     table.settle(0, &claim(attempt, &key.to_string()), settlement);
-                    if freed && table != before && holder[key as usize] == Some(attempt) {
-                        holder[key as usize] = None;
+                    if releases && table != before && holders[key as usize] == Some(attempt) {
+                        holders[key as usize] = None;
                     }
                 }
             }
--- a/src/claim/tests/client.rs
+++ b/src/claim/tests/client.rs
@@ -1,4 +1,4 @@
-//! A router's claims over real sockets.
+//! The claim client over real sockets.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,22 +13,22 @@
 use crate::testing::{peer_address, start_peers, wait_until};
 use crate::wire::{Role, write_frame};
 
-/// Time between two requests: far less than the time after which a host is silent.
-const BETWEEN: Duration = Duration::from_millis(100);
-/// How long each request waits.
-const LIMIT: Duration = Duration::from_secs(3);
+/// Time between two requests: far less than the client's time-out for answers.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit of each request.
+const REQUEST_LIMIT: Duration = Duration::from_secs(3);
 
-/// Takes connections and reads nothing.
-async fn say_nothing(mut incoming: mpsc::Receiver<Incoming>, taken: Arc<AtomicUsize>) {
+/// Accepts connections and never answers.
+async fn accept_and_ignore(mut incoming: mpsc::Receiver<Incoming>, accepted: Arc<AtomicUsize>) {
     let mut open = Vec::new();
     while let Some(connection) = incoming.recv().await {
-        taken.fetch_add(1, Ordering::Relaxed);
+        accepted.fetch_add(1, Ordering::Relaxed);
         open.push(connection);
     }
 }
 
 /// Grants every claim.
-async fn grant(mut incoming: mpsc::Receiver<Incoming>) {
+async fn grant_all(mut incoming: mpsc::Receiver<Incoming>) {
     while let Some(Incoming { mut reader, mut writer, .. }) = incoming.recv().await {
         tokio::spawn(async move {
             while let Ok(requests) = reader.next::<Vec<ClaimRequest>>().await {
@@ -45,12 +45,12 @@
 }
 
 #[tokio::test]
-async fn a_silent_host_is_given_up_under_steady_requests() {
+async fn an_unresponsive_host_is_abandoned_under_steady_requests() {
     let (_answers, answering) = start_peers(Role::Control, 31, vec![]).await;
-    let (_silent, silent) = start_peers(Role::Control, 32, vec![]).await;
-    let taken = Arc::new(AtomicUsize::new(0));
-    tokio::spawn(say_nothing(silent, taken.clone()));
-    tokio::spawn(grant(answering));
+    let (_unresponsive, unresponsive) = start_peers(Role::Control, 32, vec![]).await;
+    let accepted = Arc::new(AtomicUsize::new(0));
+    tokio::spawn(accept_and_ignore(unresponsive, accepted.clone()));
+    tokio::spawn(grant_all(answering));
     let seeds = vec![peer_address(31), peer_address(32)];
     let (router, _) = start_peers(Role::Router, 33, seeds).await;
     wait_until(|| router.view().with_role(Role::Control).count() == 2).await;
@@ -60,15 +60,16 @@
         let (claims, count) = (claims.clone(), granted.clone());
         tokio::spawn(async move {
             let key = format!("key-{number}");
-            if claims.claim(claim(number, &key), LIMIT).await == Some(ClaimOutcome::Granted) {
+            if claims.claim(claim(number, &key), REQUEST_LIMIT).await == Some(ClaimOutcome::Granted)
+            {
                 count.fetch_add(1, Ordering::Relaxed);
             }
         });
-        tokio::time::sleep(BETWEEN).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
         if granted.load(Ordering::Relaxed) > 0 {
             break;
         }
     }
-    assert!(taken.load(Ordering::Relaxed) > 0, "the silent host was asked first");
-    assert!(granted.load(Ordering::Relaxed) > 0, "the other host is asked after it");
+    assert!(accepted.load(Ordering::Relaxed) > 0, "the unresponsive host was not asked first");
+    assert!(granted.load(Ordering::Relaxed) > 0, "the other host was not asked after it");
 }
