--- a/src/control.rs
+++ b/src/control.rs
@@ -29,7 +29,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::error::{Error, Result};
-use crate::feed::{self, Followed, Followers, Publication, Subscriptions};
+use crate::feed::{self, Followed, Publication, Subscribers, Subscriptions};
 use crate::peer::{Incoming, PeerReader, Peers};
 use crate::placement::{self, PlacerHandle};
 use crate::quarantine::SharedQuarantine;
@@ -76,7 +76,7 @@
     /// The placer that runs here.
     pub placement: PlacerHandle,
     /// The feeds that are open from here.
-    pub followers: Arc<Followers>,
+    pub subscribers: Arc<Subscribers>,
     /// The agreement.
     pub handle: Handle,
     /// Set when an operator asks for a planned stop.
@@ -165,7 +165,7 @@
         rollouts,
         quarantine,
         rollout_progress: Mutex::default(),
-        followers: Arc::default(),
+        subscribers: Arc::default(),
         handle,
         stop: stop.clone(),
     });
@@ -244,7 +244,7 @@
         leadership: control.handle.leadership.clone(),
         view: control.peers.watch(),
         numbering: control.peers.incarnation,
-        followers: control.followers.clone(),
+        subscribers: control.subscribers.clone(),
     };
     let published = feed::publish(publication, control.peers.sent.clone(), reader, writer);
     if let Err(error) = published.await {
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -9,12 +9,12 @@
 //! host tells the others what endpoints said to itself ([`sources`]).
 
 mod cursor;
-mod followers;
 mod following;
 mod news;
 mod publish;
 mod sources;
 mod subscribe;
+mod subscribers;
 mod table_fetch;
 #[cfg(test)]
 mod tests;
@@ -30,9 +30,9 @@
 use crate::routing::CurrentRouting;
 use crate::wire::HostId;
 
-pub use followers::Followers;
 pub use publish::{Publication, publish};
 pub use subscribe::Subscriptions;
+pub use subscribers::Subscribers;
 
 /// What a process keeps in step with what control hosts tell.
 #[derive(Clone, Debug, Default)]
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -10,7 +10,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::cursor::Cursor;
-use super::followers::{Follower, Followers};
+use super::subscribers::{SubscriberFeed, Subscribers};
 use super::{FeedMessage, FeedRequest, Followed, LeaderNews, Neighbour};
 use crate::control::Leadership;
 use crate::error::{Result, RpcSnafu};
@@ -41,7 +41,7 @@
     /// Names the numbers of the registry's changes: this start of the process.
     pub numbering: u64,
     /// Where it is noted what each feed was told.
-    pub followers: Arc<Followers>,
+    pub subscribers: Arc<Subscribers>,
 }
 
 /// Why a feed goes on.
@@ -64,7 +64,7 @@
 /// A feed to one subscriber.
 struct Feed {
     publication: Publication,
-    follower: Follower,
+    follower: SubscriberFeed,
     routing: watch::Receiver<Option<Arc<Routing>>>,
     changes: watch::Receiver<u64>,
     rollouts: watch::Receiver<Arc<Rollouts>>,
@@ -125,7 +125,7 @@
         publication.leadership.mark_changed();
         publication.view.mark_changed();
         Feed {
-            follower: publication.followers.opened(publication.subscriber),
+            follower: publication.subscribers.opened(publication.subscriber),
             grants: publication.followed.rollouts.watch_grants(),
             publication,
             routing,
--- a/src/feed/followers.rs
+++ b/src/feed/subscribers.rs
@@ -11,7 +11,7 @@
 
 /// The open feeds, by who subscribed.
 #[derive(Debug, Default)]
-pub struct Followers {
+pub struct Subscribers {
     feeds: Mutex<BTreeMap<HostId, Feed>>,
     next: AtomicU64,
 }
@@ -26,25 +26,25 @@
 
 /// One open feed; it counts no more when this is dropped.
 #[derive(Debug)]
-pub struct Follower {
+pub struct SubscriberFeed {
     subscriber: HostId,
     number: u64,
     superseded: CancellationToken,
-    all: Arc<Followers>,
+    all: Arc<Subscribers>,
 }
 
-impl Followers {
+impl Subscribers {
     /// A subscriber opened a feed; it was told no version yet. The feed that it had before
     /// ends: its connection is dead, which this end may not find out for a quarter of an
     /// hour.
-    pub fn opened(self: &Arc<Self>, subscriber: HostId) -> Follower {
+    pub fn opened(self: &Arc<Self>, subscriber: HostId) -> SubscriberFeed {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let superseded = CancellationToken::new();
         let feed = Feed { number, told: 0, superseded: superseded.clone() };
         if let Some(before) = self.with(|feeds| feeds.insert(subscriber, feed)) {
             before.superseded.cancel();
         }
-        Follower { subscriber, number, superseded, all: self.clone() }
+        SubscriberFeed { subscriber, number, superseded, all: self.clone() }
     }
 
     /// Feeds that are open.
@@ -54,7 +54,7 @@
 
     /// Feeds that were told this version or a later one: it was written to the socket.
     /// That it came is seen at the subscriber only.
-    pub fn count_told(&self, version: u64) -> usize {
+    pub fn count_sent(&self, version: u64) -> usize {
         self.with(|feeds| feeds.values().filter(|feed| feed.told >= version).count())
     }
 
@@ -63,7 +63,7 @@
     }
 }
 
-impl Follower {
+impl SubscriberFeed {
     /// The feed was told a routing version.
     pub fn told(&self, version: u64) {
         self.all.with(|feeds| {
@@ -80,7 +80,7 @@
     }
 }
 
-impl Drop for Follower {
+impl Drop for SubscriberFeed {
     fn drop(&mut self) {
         self.all.with(|feeds| {
             if feeds.get(&self.subscriber).is_some_and(|feed| feed.number == self.number) {
--- a/src/feed/table_fetch.rs
+++ b/src/feed/table_fetch.rs
@@ -10,7 +10,7 @@
 use crate::wire::HostId;
 
 /// Milliseconds for which a newer version that only the leader has announced waits for
-/// another host to announce it. Followers learn of a commit with the leader's next
+/// another host to announce it. Subscribers learn of a commit with the leader's next
 /// message, which is due within 100 ms; configurations are in force after seconds.
 pub(super) const LEADER_GRACE_MS: Millis = 150;
 /// Milliseconds after which a host that was asked and has sent no table counts as
--- a/src/feed/tests.rs
+++ b/src/feed/tests.rs
@@ -6,7 +6,7 @@
 
 use super::following::{Following, Reason, Step};
 use super::news::News;
-use super::{Followers, LeaderNews};
+use super::{LeaderNews, Subscribers};
 use crate::member::View;
 use crate::wire::{Heartbeat, HostId, Role};
 
@@ -217,23 +217,26 @@
 
 #[test]
 fn a_feed_counts_as_told_while_it_is_open() {
-    let followers = Arc::new(Followers::default());
-    let (first, second) = (followers.opened(ME), followers.opened(OTHER));
+    let subscribers = Arc::new(Subscribers::default());
+    let (first, second) = (subscribers.opened(ME), subscribers.opened(OTHER));
     first.told(7);
     second.told(5);
-    assert_eq!((followers.count(), followers.count_told(7), followers.count_told(5)), (2, 1, 2));
+    assert_eq!(
+        (subscribers.count(), subscribers.count_sent(7), subscribers.count_sent(5)),
+        (2, 1, 2)
+    );
     drop(first);
-    assert_eq!((followers.count(), followers.count_told(7)), (1, 0));
+    assert_eq!((subscribers.count(), subscribers.count_sent(7)), (1, 0));
 }
 
 #[tokio::test]
 async fn a_subscriber_that_opens_a_feed_anew_ends_the_one_before() {
-    let followers = Arc::new(Followers::default());
-    let dead = followers.opened(ME);
-    let anew = followers.opened(ME);
+    let subscribers = Arc::new(Subscribers::default());
+    let dead = subscribers.opened(ME);
+    let anew = subscribers.opened(ME);
     dead.superseded().await;
     anew.told(7);
     dead.told(3);
     drop(dead);
-    assert_eq!((followers.count(), followers.count_told(7)), (1, 1));
+    assert_eq!((subscribers.count(), subscribers.count_sent(7)), (1, 1));
 }
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -70,7 +70,7 @@
         leadership: watch::Sender::new(leads).subscribe(),
         view: peers.watch(),
         numbering: peers.incarnation,
-        followers: Arc::default(),
+        subscribers: Arc::default(),
     }
 }
 
