--- a/src/control.rs
+++ b/src/control.rs
@@ -29,7 +29,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::error::{Error, Result};
-use crate::feed::{self, Followed, Publication, Subscribers, Subscriptions};
+use crate::feed::{self, FleetState, Publication, Subscribers, Subscriptions};
 use crate::peer::{Incoming, PeerReader, Peers};
 use crate::placement::{self, PlacerHandle};
 use crate::quarantine::SharedQuarantine;
@@ -85,8 +85,8 @@
 
 impl Control {
     /// What this host tells by feed, and learns so from the others.
-    fn followed(&self) -> Followed {
-        Followed {
+    fn fleet_state(&self) -> FleetState {
+        FleetState {
             documents: self.documents.clone(),
             registry: self.registry.clone(),
             rollouts: self.rollouts.clone(),
@@ -131,14 +131,14 @@
     let role = Role::Control;
     let (peers, incoming) = Peers::start(&settings.host, role, settings.operator).await?;
     let configs = Arc::new(Configs::default());
-    let followed = Followed::default();
-    let Followed { documents, registry, rollouts, quarantine } = followed.clone();
+    let fleet_state = FleetState::default();
+    let FleetState { documents, registry, rollouts, quarantine } = fleet_state.clone();
     registry.remember(saved::load(&settings.data));
     tokio::spawn(saved::keep_saved(registry.clone(), settings.data.clone()));
     let (handle, driver) = driver::start(
         &settings,
         peers.clone(),
-        Published { configs: configs.clone(), followed },
+        Published { configs: configs.clone(), fleet_state },
         disk,
         found,
     )?;
@@ -179,7 +179,7 @@
         tokio::spawn(join::keep_joined(control.clone()));
         Subscriptions::start(
             control.peers.clone(),
-            control.followed(),
+            control.fleet_state(),
             &control.settings.host.hall,
             Role::Control,
         );
@@ -240,7 +240,7 @@
 ) {
     let publication = Publication {
         subscriber: host,
-        followed: control.followed(),
+        fleet_state: control.fleet_state(),
         leadership: control.handle.leadership.clone(),
         view: control.peers.watch(),
         numbering: control.peers.incarnation,
--- a/src/control/published.rs
+++ b/src/control/published.rs
@@ -3,25 +3,25 @@
 use std::sync::Arc;
 
 use super::state::State;
-use crate::feed::Followed;
+use crate::feed::FleetState;
 use crate::spread::Configs;
 
 /// What the other parts of a control host know of the agreed state.
 pub(super) struct Published {
     pub configs: Arc<Configs>,
-    pub followed: Followed,
+    pub fleet_state: FleetState,
 }
 
 impl Published {
     /// Takes the newest state over.
     pub fn adopt(&self, state: &State) {
-        let followed = &self.followed;
+        let fleet_state = &self.fleet_state;
         self.configs.replace(state.history().clone());
         if let Some(document) = state.document() {
-            followed.documents.adopt(document.clone());
+            fleet_state.documents.adopt(document.clone());
         }
-        followed.registry.adopt_drained(state.drained().clone());
-        followed.rollouts.adopt(state.rollouts().clone(), &followed.registry);
-        followed.quarantine.replace(state.quarantines());
+        fleet_state.registry.adopt_drained(state.drained().clone());
+        fleet_state.rollouts.adopt(state.rollouts().clone(), &fleet_state.registry);
+        fleet_state.quarantine.replace(state.quarantines());
     }
 }
--- a/src/control/tests/folder.rs
+++ b/src/control/tests/folder.rs
@@ -9,7 +9,7 @@
 use crate::control::driver;
 use crate::control::published::Published;
 use crate::error::{Error, Result};
-use crate::feed::Followed;
+use crate::feed::FleetState;
 use crate::registry::SharedRegistry;
 use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
@@ -60,9 +60,9 @@
 async fn start(folder: &TempDir, host: u8) -> Result<Started> {
     let (peers, _incoming) = start_peers(Role::Control, host, vec![]).await;
     let configs = Arc::new(Configs::default());
-    let followed = Followed::default();
-    let Followed { documents, registry, .. } = followed.clone();
-    let published = Published { configs: configs.clone(), followed };
+    let fleet_state = FleetState::default();
+    let FleetState { documents, registry, .. } = fleet_state.clone();
+    let published = Published { configs: configs.clone(), fleet_state };
     let (disk, found) = Disk::open(folder.path())?;
     let (_handle, task) = driver::start(&settings(folder, host), peers, published, disk, found)?;
     Ok(Started { configs, documents, registry, task, _handle })
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -36,7 +36,7 @@
 
 /// What a process keeps in step with what control hosts tell.
 #[derive(Clone, Debug, Default)]
-pub struct Followed {
+pub struct FleetState {
     /// The routing in force.
     pub documents: Arc<CurrentRouting>,
     /// The endpoints.
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -11,7 +11,7 @@
 
 use super::cursor::Cursor;
 use super::subscribers::{SubscriberFeed, Subscribers};
-use super::{FeedMessage, FeedRequest, Followed, LeaderNews, Neighbour};
+use super::{FeedMessage, FeedRequest, FleetState, LeaderNews, Neighbour};
 use crate::control::Leadership;
 use crate::error::{Result, RpcSnafu};
 use crate::member::View;
@@ -33,7 +33,7 @@
     /// Who follows.
     pub subscriber: HostId,
     /// What it is told of.
-    pub followed: Followed,
+    pub fleet_state: FleetState,
     /// Who leads.
     pub leadership: watch::Receiver<Leadership>,
     /// The other hosts.
@@ -114,10 +114,10 @@
 impl Feed {
     /// A feed that was told nothing yet.
     fn new(mut publication: Publication, asked: mpsc::Receiver<FeedRequest>) -> Feed {
-        let mut routing = publication.followed.documents.watch();
-        let mut changes = publication.followed.registry.watch();
-        let mut rollouts = publication.followed.rollouts.watch();
-        let mut quarantine = publication.followed.quarantine.watch();
+        let mut routing = publication.fleet_state.documents.watch();
+        let mut changes = publication.fleet_state.registry.watch();
+        let mut rollouts = publication.fleet_state.rollouts.watch();
+        let mut quarantine = publication.fleet_state.quarantine.watch();
         routing.mark_changed();
         changes.mark_changed();
         rollouts.mark_changed();
@@ -126,7 +126,7 @@
         publication.view.mark_changed();
         Feed {
             follower: publication.subscribers.opened(publication.subscriber),
-            grants: publication.followed.rollouts.watch_grants(),
+            grants: publication.fleet_state.rollouts.watch_grants(),
             publication,
             routing,
             changes,
@@ -164,7 +164,7 @@
     /// When endpoints are to be told, if any have changed.
     fn endpoints_due_at(&self) -> Option<Instant> {
         let cursor = self.cursor.as_ref()?;
-        let last_change = self.publication.followed.registry.read(|r| r.last_change());
+        let last_change = self.publication.fleet_state.registry.read(|r| r.last_change());
         if !cursor.is_behind(last_change) {
             return None;
         }
@@ -191,7 +191,7 @@
                 (before != now).then_some(FeedMessage::Routers(now))
             }
             Event::Registry => {
-                let now = self.publication.followed.registry.read(|r| r.drained().clone());
+                let now = self.publication.fleet_state.registry.read(|r| r.drained().clone());
                 let before = std::mem::replace(&mut self.drained, now.revision());
                 (before != now.revision()).then_some(FeedMessage::DrainedHalls(now))
             }
@@ -217,7 +217,7 @@
 
     fn endpoints(&mut self) -> Option<FeedMessage> {
         let cursor = self.cursor.as_mut()?;
-        let (endpoints, upto) = cursor.next(&self.publication.followed.registry);
+        let (endpoints, upto) = cursor.next(&self.publication.fleet_state.registry);
         if endpoints.is_empty() {
             return None;
         }
@@ -229,7 +229,7 @@
         let publication = &self.publication;
         match request {
             FeedRequest::Routing => {
-                let routing = publication.followed.documents.current()?;
+                let routing = publication.fleet_state.documents.current()?;
                 let (version, encoded) = (routing.table.version, routing.encoded());
                 Some(FeedMessage::Routing { version, encoded })
             }
@@ -237,28 +237,32 @@
                 Some(FeedMessage::Neighbours(neighbours(&publication.view.borrow(), &hall)))
             }
             FeedRequest::RolloutReport(report) => {
-                publication.followed.rollouts.record_report(publication.subscriber, report);
+                publication.fleet_state.rollouts.record_report(publication.subscriber, report);
                 None
             }
             FeedRequest::CrashReport(report) => {
-                if !publication.followed.quarantine.receive_report(publication.subscriber, report) {
+                if !publication
+                    .fleet_state
+                    .quarantine
+                    .receive_report(publication.subscriber, report)
+                {
                     log::warn!("quarantine: too many reports of crashes, one is dropped");
                 }
                 None
             }
             FeedRequest::EndpointsLeave(starts) => {
                 // As first hand: the other control hosts are told.
-                publication.followed.registry.record_leaving(&starts, Origin::Direct);
+                publication.fleet_state.registry.record_leaving(&starts, Origin::Direct);
                 None
             }
             FeedRequest::Speak { waking } => Some(FeedMessage::Speaks { waking }),
             FeedRequest::Endpoints(after) => {
                 let cursor =
-                    Cursor::new(after, publication.numbering, &publication.followed.registry);
+                    Cursor::new(after, publication.numbering, &publication.fleet_state.registry);
                 self.cursor = Some(cursor);
                 // Who was told before knows what the sender only remembers.
                 let remembered =
-                    || publication.followed.registry.read(|r| r.remembered().cloned().collect());
+                    || publication.fleet_state.registry.read(|r| r.remembered().cloned().collect());
                 (after.numbering == 0).then(|| FeedMessage::Remembered(remembered()))
             }
             FeedRequest::NoEndpoints => {
--- a/src/feed/subscribe.rs
+++ b/src/feed/subscribe.rs
@@ -11,7 +11,7 @@
 use super::news::News;
 use super::sources::{Sources, Step};
 use super::table_fetch::{Next, TableFetch};
-use super::{EndpointsAfter, FeedMessage, FeedRequest, Followed, Neighbour};
+use super::{EndpointsAfter, FeedMessage, FeedRequest, FleetState, Neighbour};
 use crate::dispatch::Millis;
 use crate::peer::Peers;
 use crate::quarantine::CrashReport;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct Subscriptions {
     peers: Arc<Peers>,
-    followed: Followed,
+    fleet_state: FleetState,
     news: Mutex<News>,
     tables: Mutex<Tables>,
     tables_changed: Notify,
@@ -59,14 +59,14 @@
     /// Follows every control host that is known but this one, as a host of `role`.
     pub fn start(
         peers: Arc<Peers>,
-        followed: Followed,
+        fleet_state: FleetState,
         hall: &str,
         role: Role,
     ) -> Arc<Subscriptions> {
         let sources = Mutex::new(Sources::new(peers.me, hall, role));
         let all = Arc::new(Subscriptions {
             peers,
-            followed,
+            fleet_state,
             news: Mutex::default(),
             tables: Mutex::default(),
             tables_changed: Notify::new(),
@@ -108,7 +108,7 @@
 
     /// The version of the routing in force here; 0 before the first.
     fn held(&self) -> u64 {
-        self.followed.documents.current().map_or(0, |routing| routing.table.version)
+        self.fleet_state.documents.current().map_or(0, |routing| routing.table.version)
     }
 
     /// Routers in the fleet, as far as control hosts last said.
@@ -162,7 +162,7 @@
     /// A control host that was out of reach may know endpoints as ready that told this
     /// router that they leave.
     fn tell_leaving(&self, requests: &BatchSender<FeedRequest>) {
-        let leaving = self.followed.registry.read(|registry| registry.leaving(MOST_LEAVING));
+        let leaving = self.fleet_state.registry.read(|registry| registry.leaving(MOST_LEAVING));
         if self.role == Role::Router && !leaving.is_empty() {
             // A feed that has closed is noticed by its reader.
             let _ = requests.send(FeedRequest::EndpointsLeave(leaving).into());
@@ -272,32 +272,32 @@
                 self.tables_changed.notify_one();
             }
             FeedMessage::Routing { version, encoded } => {
-                if let Err(error) = self.followed.documents.adopt_encoded(version, &encoded) {
+                if let Err(error) = self.fleet_state.documents.adopt_encoded(version, &encoded) {
                     log::error!("feed: routing version {version} of host {from}: {error}");
                 }
                 self.tables().fetch.delivered(from);
                 self.tables_changed.notify_one();
             }
             FeedMessage::Endpoints { numbering, upto, scope, endpoints } => {
-                self.followed.registry.merge(endpoints, Origin::Relayed);
+                self.fleet_state.registry.merge(endpoints, Origin::Relayed);
                 lock(&self.told).insert((from, scope), (numbering, upto));
             }
-            FeedMessage::DrainedHalls(drained) => self.followed.registry.adopt_drained(drained),
+            FeedMessage::DrainedHalls(drained) => self.fleet_state.registry.adopt_drained(drained),
             FeedMessage::Rollouts(rollouts) => {
-                self.followed.rollouts.adopt(rollouts, &self.followed.registry);
+                self.fleet_state.rollouts.adopt(rollouts, &self.fleet_state.registry);
             }
             FeedMessage::Grants(grants) => {
                 let now = self.peers.clock.now();
                 // They hold from their arrival on: where this process stood still, they
                 // arrived long ago.
                 if self.news().speaks_now(now, from) {
-                    self.followed.rollouts.adopt_grants(now, grants);
+                    self.fleet_state.rollouts.adopt_grants(now, grants);
                 }
             }
             FeedMessage::Speaks { waking } => self.news().spoke_since(from, waking),
-            FeedMessage::Quarantine(news) => self.followed.quarantine.adopt(news),
+            FeedMessage::Quarantine(news) => self.fleet_state.quarantine.adopt(news),
             FeedMessage::Neighbours(routers) => self.adopt_neighbours(routers),
-            FeedMessage::Remembered(endpoints) => self.followed.registry.remember(endpoints),
+            FeedMessage::Remembered(endpoints) => self.fleet_state.registry.remember(endpoints),
             FeedMessage::Routers(routers) => {
                 let now = self.peers.clock.now();
                 self.news().set_routers(now, from, routers as usize);
--- a/src/feed/tests/connection.rs
+++ b/src/feed/tests/connection.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::mpsc;
 
-use super::super::{FeedMessage, Followed, Subscriptions, publish};
+use super::super::{FeedMessage, FleetState, Subscriptions, publish};
 use crate::peer::{Incoming, Peers};
 use crate::registry::{EndpointState, Origin, Registration, Scope, SharedRegistry};
 use crate::routing::{CurrentRouting, RoutingTable};
@@ -53,8 +53,8 @@
     ([control, router], [published, followed], feeds)
 }
 
-fn following(documents: &Arc<CurrentRouting>) -> Followed {
-    Followed { documents: documents.clone(), ..Followed::default() }
+fn following(documents: &Arc<CurrentRouting>) -> FleetState {
+    FleetState { documents: documents.clone(), ..FleetState::default() }
 }
 
 fn version(documents: &CurrentRouting) -> u64 {
@@ -171,8 +171,8 @@
     let seeds = (61..67).map(address).collect();
     let (router, _) = start(Role::Router, 67, seeds).await;
     let registry = Arc::new(SharedRegistry::default());
-    let followed = Followed { registry: registry.clone(), ..Followed::default() };
-    let feeds = Subscriptions::start(router, followed, "a", Role::Router);
+    let fleet_state = FleetState { registry: registry.clone(), ..FleetState::default() };
+    let feeds = Subscriptions::start(router, fleet_state, "a", Role::Router);
     wait_until(|| feeds.open_feeds() == hosts.len()).await;
     wait_until(|| registry.read(|r| r.ready("service").count()) == ENDPOINTS as usize).await;
     let told: Vec<_> =
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -16,7 +16,7 @@
 use super::overload::Overload;
 use super::rollouts::Releases;
 use crate::dispatch::Millis;
-use crate::feed::{Followed, Subscriptions};
+use crate::feed::{FleetState, Subscriptions};
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
 use crate::placement::{Completion, LocalPlacer, PlacementClient, Reservation};
@@ -85,13 +85,13 @@
         let hall = settings.host.hall.clone();
         let quarantine = Arc::new(SharedQuarantine::default());
         let guard = Arc::new(CrashGuard::new(quarantine.clone(), peers.me, peers.clock));
-        let followed = Followed {
+        let fleet_state = FleetState {
             documents: documents.clone(),
             registry: registry.clone(),
             rollouts: rollouts.clone(),
             quarantine,
         };
-        let feeds = Subscriptions::start(peers.clone(), followed, &hall, Role::Router);
+        let feeds = Subscriptions::start(peers.clone(), fleet_state, &hall, Role::Router);
         let regions = settings.host.regions.clone();
         let local =
             LocalPlacer::new(peers.me, peers.clock, documents.clone(), registry.clone(), regions);
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -9,7 +9,7 @@
 
 use super::super::unanswered::Unanswered;
 use super::super::*;
-use crate::feed::{Followed, Subscriptions, publish};
+use crate::feed::{FleetState, Subscriptions, publish};
 use crate::loop_lag::LoopLag;
 use crate::peer::{Incoming, Peers};
 use crate::registry::SharedRegistry;
@@ -91,15 +91,15 @@
     let (router, _) = start_peers(Role::Router, first + 1, vec![peer_address(first)]).await;
     let documents = Arc::new(CurrentRouting::default());
     let registry = Arc::new(SharedRegistry::default());
-    let followed = Followed {
+    let fleet_state = FleetState {
         documents: documents.clone(),
         registry: registry.clone(),
-        ..Followed::default()
+        ..FleetState::default()
     };
-    let followed = Subscriptions::start(router.clone(), followed, "a", Role::Router);
+    let subscriptions = Subscriptions::start(router.clone(), fleet_state, "a", Role::Router);
     let local = LocalPlacer::new(router.me, router.clock, documents, registry, Default::default());
     let placements =
-        PlacementClient::start(router, followed, local, "a".into(), LoopLag::default());
+        PlacementClient::start(router, subscriptions, local, "a".into(), LoopLag::default());
     wait_until(|| host.sessions_taken.load(Ordering::SeqCst) > 0).await;
     (host, placements)
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -17,7 +17,7 @@
 use crate::claim::Claims;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
 use crate::delivery::{Caller, HttpClient, RetryBudget};
-use crate::feed::{Followed, Subscriptions};
+use crate::feed::{FleetState, Subscriptions};
 use crate::host_list;
 use crate::peer::Peers;
 use crate::quarantine::{CrashGuard, report_crashes};
@@ -92,10 +92,11 @@
             divisor,
         );
         let claims = Claims::start(peers.clone());
-        let followed = Followed::default();
-        let guard = Arc::new(CrashGuard::new(followed.quarantine.clone(), peers.me, peers.clock));
+        let fleet_state = FleetState::default();
+        let guard =
+            Arc::new(CrashGuard::new(fleet_state.quarantine.clone(), peers.me, peers.clock));
         let hall = settings.host.hall.clone();
-        let feeds = Subscriptions::start(peers.clone(), followed, &hall, Role::Router);
+        let feeds = Subscriptions::start(peers.clone(), fleet_state, &hall, Role::Router);
         Arc::new(Router {
             claims,
             guard,
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::control::Leadership;
-use crate::feed::{Followed, Publication};
+use crate::feed::{FleetState, Publication};
 use crate::peer::{Incoming, Peers};
 use crate::region::AllowedRegions;
 use crate::registry::SharedRegistry;
@@ -66,7 +66,7 @@
     };
     Publication {
         subscriber: HostId(0),
-        followed: Followed { documents, registry, ..Followed::default() },
+        fleet_state: FleetState { documents, registry, ..FleetState::default() },
         leadership: watch::Sender::new(leads).subscribe(),
         view: peers.watch(),
         numbering: peers.incarnation,
