--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -14,7 +14,7 @@
 use crate::peer::{PeerReader, Peers};
 use crate::spread::Configs;
 use crate::telemetry::{RequestId, Trace};
-use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, Patient, ToDispatcher};
+use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, QueuedMessage, ToDispatcher};
 
 /// How often a dispatcher looks at deadlines and orphans.
 const TICK: Duration = Duration::from_millis(50);
@@ -269,8 +269,8 @@
                     );
                     self.decide(router, seq, text);
                     let grant = FromDispatcher::Grant { seq, endpoint, charged, lead };
-                    let patience = Duration::from_millis(max_delay_ms);
-                    self.send(router, grant, patience);
+                    let max_delay = Duration::from_millis(max_delay_ms);
+                    self.send(router, grant, max_delay);
                 }
                 Decision::Refuse { router, seq, customer, reason, retry_after_ms, hold_ms } => {
                     let text = format!(
@@ -302,10 +302,10 @@
         self.trace.decide(RequestId { router, incarnation, seq }, "dispatch", text);
     }
 
-    fn send(&self, router: HostId, message: FromDispatcher, patience: Duration) {
+    fn send(&self, router: HostId, message: FromDispatcher, max_delay: Duration) {
         if let Some(Session { out, .. }) = self.sessions.get(&router) {
             // A session that has just closed is noticed by its reader.
-            let _ = out.send(Patient { message, patience });
+            let _ = out.send(QueuedMessage { message, max_delay });
         }
     }
 }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -19,7 +19,7 @@
 use crate::settings::DispatchMode;
 use crate::wire::{
     BatchSender, BatchWriter, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Open,
-    Patient, RefuseReason, ToDispatcher,
+    QueuedMessage, RefuseReason, ToDispatcher,
 };
 
 /// How often a link without a dispatcher looks for one.
@@ -317,7 +317,7 @@
 
     /// How long a message may wait for others: reports a small part of the time
     /// that requests take here, wants only where others wait already.
-    fn patience(&self, message: &ToDispatcher) -> Duration {
+    fn max_delay(&self, message: &ToDispatcher) -> Duration {
         let of_reports = self.mean_run / PATIENCE_PART;
         match message {
             ToDispatcher::Done { .. } | ToDispatcher::Progress { .. } => of_reports.min(PATIENCE),
@@ -339,8 +339,8 @@
     fn send(&self, message: Option<ToDispatcher>) {
         if let (Some(message), Some((connection, _))) = (message, &self.connection) {
             // A broken connection is noticed by its reader.
-            let patience = self.patience(&message);
-            let _ = connection.out.send(Patient { message, patience });
+            let max_delay = self.max_delay(&message);
+            let _ = connection.out.send(QueuedMessage { message, max_delay });
         }
     }
 }
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -225,26 +225,26 @@
 
 /// A message and how long it may wait for others to share its frame.
 #[derive(Clone, Debug)]
-pub struct Patient<T> {
+pub struct QueuedMessage<T> {
     /// The message.
     pub message: T,
-    /// Its patience; zero to go at once.
-    pub patience: Duration,
+    /// Its max_delay; zero to go at once.
+    pub max_delay: Duration,
 }
 
-impl<T> From<T> for Patient<T> {
+impl<T> From<T> for QueuedMessage<T> {
     /// A message that goes at once.
     fn from(message: T) -> Self {
-        Patient { message, patience: Duration::ZERO }
+        QueuedMessage { message, max_delay: Duration::ZERO }
     }
 }
 
 /// Where messages for a [`BatchWriter`] go.
-pub type BatchSender<T> = mpsc::UnboundedSender<Patient<T>>;
+pub type BatchSender<T> = mpsc::UnboundedSender<QueuedMessage<T>>;
 
 /// What a [`BatchWriter`] writes next.
 enum Next<T> {
-    Message(Patient<T>),
+    Message(QueuedMessage<T>),
     KeepAlive,
     Closed,
 }
@@ -253,7 +253,7 @@
 /// with it, and after a frame the next waits a moment.
 #[derive(Debug)]
 pub struct BatchWriter<T> {
-    messages: mpsc::UnboundedReceiver<Patient<T>>,
+    messages: mpsc::UnboundedReceiver<QueuedMessage<T>>,
     sent: Option<SentBytes>,
     interval: Duration,
     keeps_alive: bool,
@@ -324,12 +324,12 @@
     }
 
     /// What goes into one frame with `first`.
-    async fn gather(&mut self, first: Patient<T>) -> Vec<T> {
-        let mut until = Instant::now() + first.patience;
+    async fn gather(&mut self, first: QueuedMessage<T>) -> Vec<T> {
+        let mut until = Instant::now() + first.max_delay;
         let mut batch = vec![first.message];
         loop {
             while let Ok(more) = self.messages.try_recv() {
-                until = until.min(Instant::now() + more.patience);
+                until = until.min(Instant::now() + more.max_delay);
                 batch.push(more.message);
             }
             if Instant::now() >= until {
@@ -337,7 +337,7 @@
             }
             match tokio::time::timeout_at(until, self.messages.recv()).await {
                 Ok(Some(more)) => {
-                    until = until.min(Instant::now() + more.patience);
+                    until = until.min(Instant::now() + more.max_delay);
                     batch.push(more.message);
                 }
                 Ok(None) | Err(_) => return batch,
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -54,9 +54,9 @@
 async fn a_patient_message_shares_the_frame_of_an_impatient_one() {
     let (a, b) = tokio::io::duplex(1 << 16);
     let (sender, writer) = BatchWriter::new(None);
-    let patience = std::time::Duration::from_secs(3_600);
+    let max_delay = std::time::Duration::from_secs(3_600);
     tokio::spawn(writer.run(a, || async {}));
-    sender.send(Patient { message: want(1), patience }).unwrap();
+    sender.send(QueuedMessage { message: want(1), max_delay }).unwrap();
     tokio::task::yield_now().await;
     sender.send(want(2).into()).unwrap();
     let got: Vec<ToDispatcher> = FrameReader::new(b).next().await.unwrap();
