--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -86,7 +86,7 @@
     let done = ToDispatcher::Done { seq: 100_000, units: 1_500, completion: Completion::Answered };
     row("done", 1, bytes(&done), "B");
     row("progress", 1, bytes(&ToDispatcher::Progress { seq: 100_000, units: 1_500 }), "B");
-    row("whole heartbeat", 1, bytes(&Beat::Whole(beat(7))), "B");
+    row("whole heartbeat", 1, bytes(&Beat::Full(beat(7))), "B");
     let brief = Beat::Brief {
         host: HostId(7),
         incarnation: 1_796_205_361_634,
@@ -164,7 +164,7 @@
     for hosts in [10u32, 50, 200, 340] {
         let mut table = Members::new(beat(0), vec![], Default::default());
         for host in 1..hosts {
-            table.heard(0, beat(host).peer, Beat::Whole(beat(host)));
+            table.heard(0, beat(host).peer, Beat::Full(beat(host)));
         }
         let start = Instant::now();
         for round in 0..200 {
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -129,7 +129,7 @@
         beat: Beat,
     ) -> Option<(SocketAddr, Beat)> {
         match beat {
-            Beat::Whole(beat) => {
+            Beat::Full(beat) => {
                 let newcomer = self.heard_whole(now, beat)?;
                 Some((newcomer, self.introduction()))
             }
@@ -137,14 +137,14 @@
                 let known = self.members.get_mut(&host);
                 let Some(member) = known.filter(|m| m.beat.incarnation == incarnation) else {
                     self.unknown_heartbeats += 1;
-                    return Some((from, Beat::Ask(self.me.clone())));
+                    return Some((from, Beat::RequestFull(self.me.clone())));
                 };
                 member.beat.version = version;
                 member.beat.draining = draining;
                 member.heard = now;
                 None
             }
-            Beat::Ask(beat) => {
+            Beat::RequestFull(beat) => {
                 let asker = beat.peer;
                 self.heard_whole(now, beat);
                 Some((asker, self.introduction()))
@@ -190,7 +190,7 @@
 
     /// What introduces this host to a newcomer.
     pub fn introduction(&self) -> Beat {
-        Beat::Whole(self.me.clone())
+        Beat::Full(self.me.clone())
     }
 
     /// Whether no other host has been heard yet.
@@ -232,7 +232,7 @@
         let greets = std::mem::take(&mut self.greet);
         let whole = greets || self.turn <= WHOLE_FIRST || self.turn % WHOLE_EVERY == 1;
         let beat = match whole {
-            true => Beat::Whole(Heartbeat { also, ..self.me.clone() }),
+            true => Beat::Full(Heartbeat { also, ..self.me.clone() }),
             false => Beat::Brief {
                 host: self.me.host,
                 incarnation: self.me.incarnation,
--- a/src/member/tests.rs
+++ b/src/member/tests.rs
@@ -30,27 +30,27 @@
 #[test]
 fn a_silent_host_is_suspected_and_comes_back() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(0, FROM, Beat::Full(beat(2, 1)));
     assert_eq!(table.view(SUSPECT_MS - 1).live.len(), 2);
     let view = table.view(SUSPECT_MS);
     assert_eq!((view.live.len(), view.suspected.len()), (1, 1));
-    table.heard(SUSPECT_MS, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(SUSPECT_MS, FROM, Beat::Full(beat(2, 1)));
     assert_eq!(table.view(SUSPECT_MS).live.len(), 2);
 }
 
 #[test]
 fn a_late_heartbeat_of_an_earlier_incarnation_is_ignored() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 9)));
-    table.heard(5, FROM, Beat::Whole(Heartbeat { draining: true, ..beat(2, 8) }));
+    table.heard(0, FROM, Beat::Full(beat(2, 9)));
+    table.heard(5, FROM, Beat::Full(Heartbeat { draining: true, ..beat(2, 8) }));
     assert!(!table.view(5).get(HostId(2)).unwrap().draining);
 }
 
 #[test]
 fn a_host_that_starts_again_after_its_clock_was_set_back_is_heard() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 9)));
-    table.heard(SUSPECT_MS, FROM, Beat::Whole(beat(2, 8)));
+    table.heard(0, FROM, Beat::Full(beat(2, 9)));
+    table.heard(SUSPECT_MS, FROM, Beat::Full(beat(2, 8)));
     assert_eq!(table.view(SUSPECT_MS).get(HostId(2)).unwrap().incarnation, 8);
 }
 
@@ -58,26 +58,26 @@
 fn routers_may_exchange_heartbeats_with_control_hosts_only() {
     let control = |host| Heartbeat { role: Role::Control, ..beat(host, 1) };
     let mut router = Table::new(beat(1, 1), vec![], HeartbeatScope::Control);
-    router.heard(0, FROM, Beat::Whole(beat(2, 1)));
-    router.heard(0, FROM, Beat::Whole(control(3)));
+    router.heard(0, FROM, Beat::Full(beat(2, 1)));
+    router.heard(0, FROM, Beat::Full(control(3)));
     assert_eq!(router.beat().1, [beat(3, 1).peer]);
     let mut other = Table::new(control(3), vec![], HeartbeatScope::Control);
-    other.heard(0, FROM, Beat::Whole(beat(2, 1)));
-    other.heard(0, FROM, Beat::Whole(control(4)));
+    other.heard(0, FROM, Beat::Full(beat(2, 1)));
+    other.heard(0, FROM, Beat::Full(control(4)));
     assert_eq!(other.beat().1, [beat(2, 1).peer, beat(4, 1).peer]);
 }
 
 #[test]
 fn a_draining_router_does_not_dispatch() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(0, FROM, Beat::Full(beat(2, 1)));
     let service = ServiceId(0);
     let first = table.view(0).dispatcher(service).unwrap().host;
     let other = HostId(3 - first.0);
     if first == HostId(1) {
         table.set_draining();
     } else {
-        table.heard(1, FROM, Beat::Whole(Heartbeat { draining: true, ..beat(2, 1) }));
+        table.heard(1, FROM, Beat::Full(Heartbeat { draining: true, ..beat(2, 1) }));
     }
     assert_eq!(table.view(1).dispatcher(service).unwrap().host, other);
 }
@@ -85,20 +85,20 @@
 #[test]
 fn a_host_that_refused_a_connection_is_avoided_though_it_beats() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(0, FROM, Beat::Full(beat(2, 1)));
     table.avoid(0, HostId(2));
-    table.heard(10, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(10, FROM, Beat::Full(beat(2, 1)));
     assert!(table.view(10).get(HostId(2)).is_none());
-    table.heard(2_000, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(2_000, FROM, Beat::Full(beat(2, 1)));
     assert!(table.view(2_000).get(HostId(2)).is_some());
 }
 
 #[test]
 fn a_restarted_host_is_not_avoided() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(0, FROM, Beat::Full(beat(2, 1)));
     table.avoid(0, HostId(2));
-    table.heard(10, FROM, Beat::Whole(beat(2, 2)));
+    table.heard(10, FROM, Beat::Full(beat(2, 2)));
     assert!(table.view(10).get(HostId(2)).is_some());
 }
 
@@ -106,7 +106,7 @@
 fn newcomers_spread_through_other_members() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
     let also = Some(beat(3, 1).peer);
-    table.heard(0, FROM, Beat::Whole(Heartbeat { also, ..beat(2, 1) }));
+    table.heard(0, FROM, Beat::Full(Heartbeat { also, ..beat(2, 1) }));
     assert!(table.beat().1.contains(&beat(3, 1).peer));
 }
 
@@ -117,7 +117,7 @@
 #[test]
 fn brief_heartbeats_keep_a_known_host_live_and_say_its_version() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(0, FROM, Beat::Full(beat(2, 1)));
     table.heard(SUSPECT_MS, FROM, brief(2, 1, 7));
     assert_eq!(table.view(SUSPECT_MS).get(HostId(2)).unwrap().version, 7);
 }
@@ -125,10 +125,10 @@
 #[test]
 fn a_brief_heartbeat_of_a_stranger_or_another_incarnation_is_answered_by_a_question() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    let question = Some((FROM, Beat::Ask(beat(1, 1))));
+    let question = Some((FROM, Beat::RequestFull(beat(1, 1))));
     assert_eq!(table.heard(0, FROM, brief(2, 1, 7)), question);
     assert!(table.view(0).get(HostId(2)).is_none());
-    table.heard(0, FROM, Beat::Whole(beat(2, 1)));
+    table.heard(0, FROM, Beat::Full(beat(2, 1)));
     assert_eq!(table.heard(0, FROM, brief(2, 1, 0)), None);
     assert_eq!(table.heard(0, FROM, brief(2, 2, 7)), question);
     assert_eq!(table.view(0).get(HostId(2)).unwrap().version, 0);
@@ -140,7 +140,7 @@
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::Control);
     let control = Heartbeat { role: Role::Control, ..beat(2, 1) };
     for now in [0, 1] {
-        let answer = table.heard(now, FROM, Beat::Ask(control.clone()));
+        let answer = table.heard(now, FROM, Beat::RequestFull(control.clone()));
         assert_eq!(answer, Some((control.peer, table.introduction())));
     }
     assert!(table.view(1).get(HostId(2)).is_some(), "who asks has introduced itself");
@@ -149,11 +149,11 @@
 #[test]
 fn a_newcomer_is_told_the_whole_at_the_next_heartbeat() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::All);
-    table.heard(0, FROM, Beat::Whole(beat(2, 1)));
-    assert!(matches!(table.beat().0, Beat::Whole(_)));
-    while matches!(table.beat().0, Beat::Whole(_)) {}
-    table.heard(0, FROM, Beat::Whole(beat(2, 2)));
-    assert!(matches!(table.beat().0, Beat::Whole(_)), "the host is back empty");
+    table.heard(0, FROM, Beat::Full(beat(2, 1)));
+    assert!(matches!(table.beat().0, Beat::Full(_)));
+    while matches!(table.beat().0, Beat::Full(_)) {}
+    table.heard(0, FROM, Beat::Full(beat(2, 2)));
+    assert!(matches!(table.beat().0, Beat::Full(_)), "the host is back empty");
 }
 
 proptest! {
@@ -188,11 +188,11 @@
     assert!(!new.is_alone());
     // Each knows the other now, so the exchange ends.
     assert_eq!(old.heard(0, FROM, new.introduction()), None);
-    assert_eq!(old.heard(1, FROM, Beat::Whole(beat(2, 2))), answer(beat(2, 2), &old));
+    assert_eq!(old.heard(1, FROM, Beat::Full(beat(2, 2))), answer(beat(2, 2), &old));
 }
 
 #[test]
 fn routers_that_exchange_no_heartbeats_do_not_introduce_themselves() {
     let mut table = Table::new(beat(1, 1), vec![], HeartbeatScope::Control);
-    assert_eq!(table.heard(0, FROM, Beat::Whole(beat(2, 1))), None);
+    assert_eq!(table.heard(0, FROM, Beat::Full(beat(2, 1))), None);
 }
--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -155,7 +155,7 @@
     /// Whether `host` takes the present process of `other` for live.
     pub fn knows(&self, host: u32, other: u32) -> bool {
         let view = self.processes[&host].table.view(self.now);
-        let Beat::Whole(present) = self.processes[&other].table.introduction() else {
+        let Beat::Full(present) = self.processes[&other].table.introduction() else {
             panic!("an introduction says the whole");
         };
         view.get(HostId(other)).is_some_and(|m| m.incarnation == present.incarnation)
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -293,8 +293,8 @@
 
 fn log_answer(to: HostId, answer: &Beat) {
     match answer {
-        Beat::Ask(_) => log::info!("member: host {to} is not known, asked for the whole"),
-        Beat::Whole(_) => log::info!("member: introduced to host {to}"),
+        Beat::RequestFull(_) => log::info!("member: host {to} is not known, asked for the whole"),
+        Beat::Full(_) => log::info!("member: introduced to host {to}"),
         Beat::Brief { .. } => {}
     }
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -9,7 +9,7 @@
 use crate::wire::{Beat, Heartbeat, HostId, Open, PROTOCOL, Role, write_payload};
 
 fn beat(from: SocketAddr) -> Beat {
-    Beat::Whole(Heartbeat {
+    Beat::Full(Heartbeat {
         host: HostId(999),
         incarnation: 1,
         role: Role::Control,
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Beat {
     /// All that a host says of itself.
-    Whole(Heartbeat),
+    Full(Heartbeat),
     /// What changes.
     Brief {
         /// The host.
@@ -83,14 +83,14 @@
     },
     /// The answer to a brief heartbeat that says nothing to its receiver, which has
     /// not heard the whole from that start of the sender: who asks for it.
-    Ask(Heartbeat),
+    RequestFull(Heartbeat),
 }
 
 impl Beat {
     /// Who sent it.
     pub fn host(&self) -> HostId {
         match self {
-            Beat::Whole(beat) | Beat::Ask(beat) => beat.host,
+            Beat::Full(beat) | Beat::RequestFull(beat) => beat.host,
             Beat::Brief { host, .. } => *host,
         }
     }
