--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Change, Config, Delta, Refusal};
-use crate::wire::Pulled;
+use crate::wire::PullResponse;
 
 /// Versions for which deltas are kept.
 const KEPT_DELTAS: usize = 4_096;
@@ -50,29 +50,29 @@
     }
 
     /// What a process needs that has version `have`.
-    pub fn since(&self, have: u64) -> Pulled {
+    pub fn since(&self, have: u64) -> PullResponse {
         if have >= self.config.version {
-            return Pulled::Current;
+            return PullResponse::Current;
         }
         let first = self.deltas.front().map_or(u64::MAX, |d| d.version);
         if have + 1 < first {
-            return Pulled::Whole(Box::new(Config::clone(&self.config)));
+            return PullResponse::Snapshot(Box::new(Config::clone(&self.config)));
         }
         let newer = self.deltas.iter().filter(|d| d.version > have);
-        Pulled::Deltas(newer.cloned().collect())
+        PullResponse::Deltas(newer.cloned().collect())
     }
 
     /// Adopts what was pulled; only ever a higher version. Says whether there
     /// was one.
-    pub fn adopt(&mut self, pulled: Pulled) -> bool {
+    pub fn adopt(&mut self, pulled: PullResponse) -> bool {
         let before = self.config.version;
         match pulled {
-            Pulled::Current => {}
-            Pulled::Whole(config) if config.version > before => {
+            PullResponse::Current => {}
+            PullResponse::Snapshot(config) if config.version > before => {
                 *self = History::starting_from(*config);
             }
-            Pulled::Whole(_) => {}
-            Pulled::Deltas(deltas) => self.adopt_deltas(deltas),
+            PullResponse::Snapshot(_) => {}
+            PullResponse::Deltas(deltas) => self.adopt_deltas(deltas),
         }
         self.config.version > before
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -82,7 +82,7 @@
 fn a_lower_or_equal_version_is_never_adopted() {
     let mut newest = history(10);
     let whole = Config::clone(history(9).config());
-    assert!(!newest.adopt(crate::wire::Pulled::Whole(Box::new(whole))));
+    assert!(!newest.adopt(crate::wire::PullResponse::Snapshot(Box::new(whole))));
     assert!(!newest.adopt(history(10).since(3)));
     assert_eq!(newest.config().version, 10);
 }
@@ -90,5 +90,5 @@
 #[test]
 fn one_too_far_behind_gets_the_whole() {
     let newest = History::starting_from(Config::clone(history(10).config()));
-    assert!(matches!(newest.since(3), crate::wire::Pulled::Whole(_)));
+    assert!(matches!(newest.since(3), crate::wire::PullResponse::Snapshot(_)));
 }
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -11,7 +11,7 @@
 use crate::config::{Config, Delta, History};
 use crate::error::Result;
 use crate::peer::Peers;
-use crate::wire::{Heartbeat, Open, Pulled, SentBytes, write_frame};
+use crate::wire::{Heartbeat, Open, PullResponse, SentBytes, write_frame};
 
 /// How long a pull may take.
 const PULL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -53,7 +53,7 @@
     }
 
     /// Adopts what was pulled, if it is newer.
-    pub fn adopt(&self, pulled: Pulled) -> bool {
+    pub fn adopt(&self, pulled: PullResponse) -> bool {
         self.change(|history| history.adopt(pulled))
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// What a process needs that has version `have`.
-    pub fn since(&self, have: u64) -> Pulled {
+    pub fn since(&self, have: u64) -> PullResponse {
         self.history.lock().unwrap_or_else(PoisonError::into_inner).since(have)
     }
 
@@ -134,12 +134,12 @@
     }
 }
 
-async fn pull(peers: &Peers, member: &Heartbeat, have: u64) -> Result<Pulled> {
+async fn pull(peers: &Peers, member: &Heartbeat, have: u64) -> Result<PullResponse> {
     let open = Open::Pull { host: peers.me, have };
     let exchange = async {
         peers.links.clear_to(member.host).await;
         let (mut reader, _writer) = peers.connect(member.peer, &open).await?;
-        reader.next::<Pulled>().await
+        reader.next::<PullResponse>().await
     };
     match tokio::time::timeout(PULL_TIMEOUT, exchange).await {
         Ok(result) => result,
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -175,13 +175,13 @@
 
 /// The answer to [`Open::Pull`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Pulled {
+pub enum PullResponse {
     /// The asker has the newest version known here.
     Current,
     /// The steps from the asker's version on.
     Deltas(Vec<Delta>),
     /// The whole, when the asker is too far behind for deltas.
-    Whole(Box<Config>),
+    Snapshot(Box<Config>),
 }
 
 /// A request waiting at a router, as its dispatcher sees it.
