--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -144,7 +144,7 @@
     async fn converse(&mut self, target: Heartbeat) {
         let host = target.host;
         let open = Open::Claims { router: self.peers.me };
-        let connected = match self.peers.links.is_cut(host) {
+        let connected = match self.peers.links.is_cut_to(host) {
             true => None,
             false => self.peers.connect(target.peer, &open).await.ok(),
         };
@@ -156,7 +156,7 @@
         let links = self.peers.links.clone();
         tokio::spawn(batch.run(writer, move || {
             let links = links.clone();
-            async move { links.clear_to(host).await }
+            async move { links.wait_until_clear_to(host).await }
         }));
         let (sender, mut answers) = mpsc::unbounded_channel();
         let reading = tokio::spawn(async move {
--- a/src/control/courier.rs
+++ b/src/control/courier.rs
@@ -108,7 +108,7 @@
         while let Ok(more) = messages.try_recv() {
             batch.push(more);
         }
-        if peers.links.is_cut(host) {
+        if peers.links.is_cut_to(host) {
             continue;
         }
         if let Some(ended) = connection.take_if(|c: &mut Connection| c.has_ended()) {
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -123,10 +123,10 @@
     let links = control.peers.links.clone();
     tokio::spawn(batch.run(writer, move || {
         let links = links.clone();
-        async move { links.clear_to(router).await }
+        async move { links.wait_until_clear_to(router).await }
     }));
     while let Ok(requests) = reader.next::<Vec<ClaimRequest>>().await {
-        control.peers.links.clear_from(router).await;
+        control.peers.links.wait_until_clear_from(router).await;
         for request in requests {
             let control = control.clone();
             let answers = answers.clone();
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -254,7 +254,7 @@
     };
     let view = peers.view();
     let known = view.live.iter().chain(&view.suspected);
-    let cut = known.filter(|m| peers.links.is_cut(m.host)).map(|m| m.peer);
+    let cut = known.filter(|m| peers.links.is_cut_to(m.host)).map(|m| m.peer);
     let cut: HashSet<SocketAddr> = cut.collect();
     let heartbeats = peers.sent.of(Traffic::Heartbeats);
     for target in targets.into_iter().filter(|target| !cut.contains(target)) {
@@ -284,7 +284,7 @@
         }
         let now = peers.clock.now();
         let answer = peers.with_table(|t| t.heard(now, from, beat));
-        if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut(sender)) {
+        if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut_to(sender)) {
             log_answer(sender, &answer);
             send_beat(&peers, &udp, &answer, vec![to]).await;
         }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether nothing is sent to `host`.
-    pub fn is_cut(&self, host: HostId) -> bool {
+    pub fn is_cut_to(&self, host: HostId) -> bool {
         self.read(|c| c.to.contains(&host))
     }
 
@@ -54,14 +54,14 @@
     }
 
     /// Waits while nothing is sent to `host`, as a stalled connection would.
-    pub async fn clear_to(&self, host: HostId) {
-        while self.is_cut(host) {
+    pub async fn wait_until_clear_to(&self, host: HostId) {
+        while self.is_cut_to(host) {
             tokio::time::sleep(POLL).await;
         }
     }
 
     /// Waits while nothing is heard from `host`.
-    pub async fn clear_from(&self, host: HostId) {
+    pub async fn wait_until_clear_from(&self, host: HostId) {
         while self.is_cut_from(host) {
             tokio::time::sleep(POLL).await;
         }
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -78,7 +78,7 @@
         let links = peers.links.clone();
         tokio::spawn(batch.run(writer, move || {
             let links = links.clone();
-            async move { links.clear_to(router).await }
+            async move { links.wait_until_clear_to(router).await }
         }));
         let closed = CancellationToken::new();
         let _close = closed.clone().drop_guard();
@@ -146,7 +146,7 @@
             // The dispatcher has closed the session.
             () = closed.cancelled() => break,
         };
-        peers.links.clear_from(router).await;
+        peers.links.wait_until_clear_from(router).await;
         let messages = Event::Messages { router, session: number, messages };
         if events.send(messages).await.is_err() {
             return;
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -354,7 +354,7 @@
 ) {
     let host = target.host;
     let open = Open::Dispatch { router: peers.me, service, session };
-    let connected = match peers.links.is_cut(host) {
+    let connected = match peers.links.is_cut_to(host) {
         true => None,
         false => peers.connect(target.peer, &open).await.ok(),
     };
@@ -368,7 +368,7 @@
     let links = peers.links.clone();
     let write = batch.run(writer, move || {
         let links = links.clone();
-        async move { links.clear_to(host).await }
+        async move { links.wait_until_clear_to(host).await }
     });
     let writing = AbortOnDropHandle::new(tokio::spawn(write));
     let dispatcher = (host, target.incarnation);
@@ -376,7 +376,7 @@
     let mut reader = reader.ends_when_silent();
     let _ = events.send(Event::Up(Connection { session, dispatcher, out }));
     while let Ok(messages) = reader.next::<Vec<FromDispatcher>>().await {
-        peers.links.clear_from(host).await;
+        peers.links.wait_until_clear_from(host).await;
         let _ = events.send(Event::Messages { session, messages });
     }
     drop(writing);
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -137,7 +137,7 @@
 async fn pull(peers: &Peers, member: &Heartbeat, have: u64) -> Result<PullResponse> {
     let open = Open::Pull { host: peers.me, have };
     let exchange = async {
-        peers.links.clear_to(member.host).await;
+        peers.links.wait_until_clear_to(member.host).await;
         let (mut reader, _writer) = peers.connect(member.peer, &open).await?;
         reader.next::<PullResponse>().await
     };
