--- a/src/control/courier.rs
+++ b/src/control/courier.rs
@@ -88,7 +88,7 @@
 
 /// Reads keep-alives until they stay away or the connection ends; why.
 async fn read_to_end(reader: PeerReader) -> Error {
-    let mut reader = reader.ends_when_silent();
+    let mut reader = reader.with_silence_timeout();
     loop {
         if let Err(error) = reader.next_payload().await {
             return error;
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -20,7 +20,9 @@
 use crate::registry::Origin;
 use crate::rollout::{Grants, Rollouts};
 use crate::routing::Routing;
-use crate::wire::{HostId, KEEP_ALIVE, Role, SentBytes, Traffic, write_frame, write_keep_alive};
+use crate::wire::{
+    HostId, KEEP_ALIVE_INTERVAL, Role, SentBytes, Traffic, write_frame, write_keep_alive,
+};
 
 /// How long a subscriber may take to read one message.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -157,7 +159,7 @@
             () = wait_until(due_at) => Event::EndpointsDue,
             Ok(()) = self.routing.changed() => Event::Routing,
             request = self.asked.recv() => request.map_or(Event::Over, Event::Asked),
-            () = tokio::time::sleep_until(self.told_at + KEEP_ALIVE) => Event::KeepAliveDue,
+            () = tokio::time::sleep_until(self.told_at + KEEP_ALIVE_INTERVAL) => Event::KeepAliveDue,
         }
     }
 
--- a/src/feed/subscribe/feeds.rs
+++ b/src/feed/subscribe/feeds.rs
@@ -91,7 +91,7 @@
     let open = Open::Feed { host: all.peers.me };
     let (reader, writer) = all.peers.connect(address, &open).await?;
     // A feed may have nothing to tell for hours, and its connection may die meanwhile.
-    let mut reader = reader.ends_when_silent();
+    let mut reader = reader.with_silence_timeout();
     let (requests, batch) = BatchWriter::immediate(Some(all.peers.sent.clone()));
     // The writing half stays open for as long as the reader works.
     let _writing = AbortOnDropHandle::new(tokio::spawn(batch.run(writer, || ready(()))));
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -74,7 +74,7 @@
         let peers = self.peers.clone();
         let sent = (router != peers.me).then(|| peers.sent.clone());
         let (out, batch) = BatchWriter::new(sent);
-        let batch = batch.keeping_alive();
+        let batch = batch.with_keep_alives();
         let links = peers.links.clone();
         tokio::spawn(batch.run(writer, move || {
             let links = links.clone();
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -373,7 +373,7 @@
     let writing = AbortOnDropHandle::new(tokio::spawn(write));
     let dispatcher = (host, target.incarnation);
     // Requests wait here for grants, and nothing else would show that none can come.
-    let mut reader = reader.ends_when_silent();
+    let mut reader = reader.with_silence_timeout();
     let _ = events.send(Event::Up(Connection { session, dispatcher, out }));
     while let Ok(messages) = reader.next::<Vec<FromDispatcher>>().await {
         peers.links.wait_until_clear_from(host).await;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -12,9 +12,9 @@
 mod tests;
 
 pub use frame::{
-    BatchSender, BatchWriter, FrameReader, KEEP_ALIVE, MAX_FRAME, QueuedMessage, SILENCE,
-    SentBytes, TCP_HEADER, Traffic, UDP_HEADER, keep_alive, write_frame, write_keep_alive,
-    write_payload,
+    BatchSender, BatchWriter, FrameReader, KEEP_ALIVE_INTERVAL, MAX_FRAME, QueuedMessage,
+    SILENCE_TIMEOUT, SentBytes, TCP_HEADER, Traffic, UDP_HEADER, keep_alive, write_frame,
+    write_keep_alive, write_payload,
 };
 pub use message::*;
 pub use protocol::{PROTOCOL, decode_versioned, encode_versioned};
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -2,8 +2,8 @@
 //!
 //! A connection may be dead without either end being told: whoever only reads on it, or
 //! only writes, would go on for ever. So the side that took a connection says something
-//! every [`KEEP_ALIVE`], an empty frame if there is nothing else, and the side that opened
-//! it gives it up after [`SILENCE`].
+//! every [`KEEP_ALIVE_INTERVAL`], an empty frame if there is nothing else, and the side that opened
+//! it gives it up after [`SILENCE_TIMEOUT`].
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,11 +29,11 @@
 const BATCH_INTERVAL: Duration = Duration::from_millis(2);
 /// The longest time for which the side that took a connection says nothing. At 340
 /// routers a control host sends 15 KB/s for it while nothing changes.
-pub const KEEP_ALIVE: Duration = Duration::from_secs(1);
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Silence after which the side that opened a connection gives it up: one keep-alive may
 /// be missed and the next come 0.2 s late, by a retransmission or a busy processor. A dead connection is replaced
 /// before the 3 s are over after which callers count on what is acknowledged.
-pub const SILENCE: Duration = Duration::from_millis(2_200);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_200);
 const LENGTH_BYTES: usize = 4;
 
 /// What bytes between hosts are sent for.
@@ -132,11 +132,11 @@
     write_payload(writer, &[]).await
 }
 
-/// Writes a keep-alive every [`KEEP_ALIVE`], on a connection on which nothing else is
+/// Writes a keep-alive every [`KEEP_ALIVE_INTERVAL`], on a connection on which nothing else is
 /// written, until it ends.
 pub async fn keep_alive<W: AsyncWrite + Unpin>(mut writer: W, sent: SentBytes) -> Result<()> {
     loop {
-        tokio::time::sleep(KEEP_ALIVE).await;
+        tokio::time::sleep(KEEP_ALIVE_INTERVAL).await;
         sent.add(write_keep_alive(&mut writer).await?);
     }
 }
@@ -165,10 +165,10 @@
     }
 
     /// From now on a read fails with [`Error::Silent`] once nothing has come for
-    /// [`SILENCE`].
-    pub fn ends_when_silent(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
+    /// [`SILENCE_TIMEOUT`].
+    pub fn with_silence_timeout(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
         let mut inner = TimeoutReader::new(self.inner);
-        inner.set_timeout(Some(SILENCE));
+        inner.set_timeout(Some(SILENCE_TIMEOUT));
         FrameReader { inner: Box::pin(inner), limit: self.limit }
     }
 
@@ -274,9 +274,9 @@
         (sender, BatchWriter { interval: Duration::ZERO, ..writer })
     }
 
-    /// The same writer, which says something every [`KEEP_ALIVE`]: for the side that took
+    /// The same writer, which says something every [`KEEP_ALIVE_INTERVAL`]: for the side that took
     /// the connection.
-    pub fn keeping_alive(self) -> Self {
+    pub fn with_keep_alives(self) -> Self {
         BatchWriter { keeps_alive: true, ..self }
     }
 
@@ -313,7 +313,7 @@
 
     async fn next(&mut self) -> Next<T> {
         let message = match self.keeps_alive {
-            true => tokio::time::timeout(KEEP_ALIVE, self.messages.recv()).await,
+            true => tokio::time::timeout(KEEP_ALIVE_INTERVAL, self.messages.recv()).await,
             false => Ok(self.messages.recv().await),
         };
         match message {
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -92,8 +92,8 @@
 async fn a_connection_lives_as_long_as_it_is_kept_alive() {
     let (a, b) = tokio::io::duplex(1 << 16);
     let (sender, writer) = BatchWriter::new(None);
-    tokio::spawn(writer.keeping_alive().run(a, || async {}));
-    let mut reader = FrameReader::new(b).ends_when_silent();
+    tokio::spawn(writer.with_keep_alives().run(a, || async {}));
+    let mut reader = FrameReader::new(b).with_silence_timeout();
     tokio::time::sleep(std::time::Duration::from_secs(3_600)).await;
     sender.send(want(1).into()).unwrap();
     let got: Vec<ToDispatcher> = reader.next().await.unwrap();
@@ -104,7 +104,7 @@
 async fn a_connection_that_is_not_kept_alive_is_given_up() {
     let (_a, b) = tokio::io::duplex(1 << 16);
     let started = tokio::time::Instant::now();
-    let silent = FrameReader::new(b).ends_when_silent().next::<Vec<ToDispatcher>>().await;
+    let silent = FrameReader::new(b).with_silence_timeout().next::<Vec<ToDispatcher>>().await;
     assert!(matches!(silent, Err(Error::Silent)));
-    assert_eq!(started.elapsed().as_secs_f64().round() as u64, SILENCE.as_secs());
+    assert_eq!(started.elapsed().as_secs_f64().round() as u64, SILENCE_TIMEOUT.as_secs());
 }
