--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -108,6 +108,6 @@
 
     /// Bytes that this host has sent for one kind of traffic.
     fn sent_for(&self, traffic: Traffic) -> u64 {
-        self.peers.sent.of(traffic).get_own()
+        self.peers.sent.of(traffic).get_for_traffic()
     }
 }
--- a/src/feed/news.rs
+++ b/src/feed/news.rs
@@ -91,7 +91,7 @@
     }
 
     /// Milliseconds since the feed that spoke last did so; none where none is open.
-    pub fn last_heard_ms(&self, now: Millis) -> Option<Millis> {
+    pub fn shortest_silence_ms(&self, now: Millis) -> Option<Millis> {
         self.hosts.values().map(|news| now.saturating_sub(news.heard)).min()
     }
 
--- a/src/feed/subscribe.rs
+++ b/src/feed/subscribe.rs
@@ -112,7 +112,7 @@
     }
 
     /// Routers in the fleet, as far as control hosts last said.
-    pub fn routers(&self) -> usize {
+    pub fn router_count(&self) -> usize {
         self.news().routers(self.peers.clock.now())
     }
 
@@ -122,8 +122,8 @@
     }
 
     /// Milliseconds since any control host said anything by feed; none without a feed.
-    pub fn last_heard_ms(&self) -> Option<Millis> {
-        self.news().last_heard_ms(self.peers.clock.now())
+    pub fn shortest_silence_ms(&self) -> Option<Millis> {
+        self.news().shortest_silence_ms(self.peers.clock.now())
     }
 
     /// Milliseconds for which the feed that is silent longest has said nothing.
@@ -133,13 +133,13 @@
 
     /// Tells of control hosts whose feeds fell silent: other connections to them may be
     /// dead too.
-    pub fn watch_silent(&self) -> broadcast::Receiver<HostId> {
+    pub fn watch_silent_hosts(&self) -> broadcast::Receiver<HostId> {
         self.silent.subscribe()
     }
 
     /// The newest routing version that an open feed has announced; 0 for none.
-    pub fn newest_announced(&self) -> u64 {
-        self.tables().fetch.newest_announced()
+    pub fn newest_announced_version(&self) -> u64 {
+        self.tables().fetch.newest_announced_version()
     }
 
     fn news(&self) -> MutexGuard<'_, News> {
--- a/src/feed/table_fetch.rs
+++ b/src/feed/table_fetch.rs
@@ -73,7 +73,7 @@
     }
 
     /// The newest version that is announced; 0 for none.
-    pub fn newest_announced(&self) -> u64 {
+    pub fn newest_announced_version(&self) -> u64 {
         self.announced.values().max().copied().unwrap_or(0)
     }
 
--- a/src/feed/tests.rs
+++ b/src/feed/tests.rs
@@ -142,11 +142,11 @@
 #[test]
 fn the_silence_of_feeds_is_told() {
     let mut news = News::default();
-    assert_eq!(news.last_heard_ms(10), None);
+    assert_eq!(news.shortest_silence_ms(10), None);
     news.opened(0, CONTROL);
     news.opened(0, OTHER);
     news.heard(400, CONTROL);
-    assert_eq!(news.last_heard_ms(1_000), Some(600));
+    assert_eq!(news.shortest_silence_ms(1_000), Some(600));
     assert_eq!(news.longest_silence_ms(1_000), Some(1_000));
     news.lost(OTHER);
     assert_eq!(news.longest_silence_ms(1_000), Some(600));
--- a/src/feed/tests/connection.rs
+++ b/src/feed/tests/connection.rs
@@ -176,7 +176,7 @@
     wait_until(|| feeds.open_feeds() == hosts.len()).await;
     wait_until(|| registry.read(|r| r.ready("service").count()) == ENDPOINTS as usize).await;
     let told: Vec<_> =
-        hosts.iter().map(|host| host.sent.of(Traffic::Endpoints).get_own()).collect();
+        hosts.iter().map(|host| host.sent.of(Traffic::Endpoints).get_for_traffic()).collect();
     let whole = postcard::to_stdvec(
         &registered(ENDPOINTS).read(|r| r.changes_after(0, usize::MAX, Scope::All)).endpoints,
     )
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -50,7 +50,7 @@
     let fingerprint = fingerprint_of(customer.as_deref(), &parts, &body);
     let service = pick_service(&route).ok_or(Refusal::NoEndpoint)?;
     let now = gateway.now();
-    let routers = gateway.feeds.routers().max(gateway.rules.least_routers);
+    let routers = gateway.feeds.router_count().max(gateway.rules.least_routers);
     gateway.with_budgets(|budgets| {
         budgets.set_routers(routers);
         budgets.record_request(now, &service);
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -111,8 +111,8 @@
         refusal.name(),
         gateway.routing_version(),
         gateway.feeds.open_feeds(),
-        gateway.feeds.newest_announced(),
-        gateway.feeds.last_heard_ms().map_or_else(|| "?".into(), |ms| ms.to_string()),
+        gateway.feeds.newest_announced_version(),
+        gateway.feeds.shortest_silence_ms().map_or_else(|| "?".into(), |ms| ms.to_string()),
     );
 }
 
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -145,7 +145,7 @@
 
     /// This router's limit for requests to a cold endpoint of a service.
     pub(super) fn cold_limit(&self, per_second: Option<f64>, is_engine: bool) -> ColdLimit {
-        let routers = self.feeds.routers();
+        let routers = self.feeds.router_count();
         ColdLimit { per_second, routers, router: self.peers.me }.reserved_for_placer(is_engine)
     }
 
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -123,7 +123,7 @@
             request.objective_ms = objective_ms.saturating_sub(spent);
         }
         request.seq = self.next_seq.fetch_add(1, Ordering::Relaxed);
-        let answer = self.local.place(request.clone(), self.feeds.routers());
+        let answer = self.local.place(request.clone(), self.feeds.router_count());
         self.placed(answer, &request, Told::Local)
     }
 
@@ -321,7 +321,7 @@
 
 async fn follow_view(all: Arc<PlacementClient>) {
     let mut view = all.peers.watch();
-    let mut silent = all.feeds.watch_silent();
+    let mut silent = all.feeds.watch_silent_hosts();
     loop {
         let now = view.borrow_and_update().clone();
         all.adopt_view(&now);
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -102,7 +102,7 @@
     }
 
     /// The bytes counted so far for this traffic alone.
-    pub fn get_own(&self) -> u64 {
+    pub fn get_for_traffic(&self) -> u64 {
         self.counters[self.traffic as usize].load(Ordering::Relaxed)
     }
 }
