--- a/src/peer.rs
+++ b/src/peer.rs
@@ -170,7 +170,7 @@
     }
 
     /// A connection to a host failed.
-    pub fn avoid(&self, host: HostId) {
+    pub fn record_connect_failure(&self, host: HostId) {
         let now = self.clock.now();
         self.with_table(|t| t.avoid(now, host));
     }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -237,7 +237,7 @@
             Event::Up(connection) => self.up(connection),
             Event::Failed { host } => {
                 self.connecting = None;
-                self.peers.avoid(host);
+                self.peers.record_connect_failure(host);
             }
             Event::Down { session } => self.down(session),
             Event::Messages { session, messages } => {
