--- a/src/dispatch/capacity.rs
+++ b/src/dispatch/capacity.rs
@@ -251,9 +251,9 @@
     }
 
     /// An endpoint told a router that it leaves, or the router found it back.
-    pub fn set_leaving(&mut self, router: HostId, endpoint: EndpointId, leaves: bool) {
+    pub fn set_leaving(&mut self, router: HostId, endpoint: EndpointId, is_leaving: bool) {
         let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
-        match leaves {
+        match is_leaving {
             true => state.told_leaving.insert(router),
             false => state.told_leaving.remove(&router),
         };
--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -111,7 +111,7 @@
         let mut out =
             vec![ToDispatcher::Join { reach: self.reach, takeover, leads: self.open_leads() }];
         out.extend(
-            self.leaving.iter().map(|e| ToDispatcher::Leaving { endpoint: *e, leaves: true }),
+            self.leaving.iter().map(|e| ToDispatcher::Leaving { endpoint: *e, is_leaving: true }),
         );
         out.extend(self.rests.iter().filter_map(|(endpoint, until)| {
             let time_ms = until.checked_sub(now).filter(|left| *left > 0)? as u32;
@@ -135,12 +135,12 @@
     }
 
     /// An endpoint told this router that it leaves, or is back after that.
-    pub fn set_leaving(&mut self, endpoint: EndpointId, leaves: bool) -> Option<ToDispatcher> {
-        match leaves {
+    pub fn set_leaving(&mut self, endpoint: EndpointId, is_leaving: bool) -> Option<ToDispatcher> {
+        match is_leaving {
             true => self.leaving.insert(endpoint),
             false => self.leaving.remove(&endpoint),
         };
-        self.session.map(|_| ToDispatcher::Leaving { endpoint, leaves })
+        self.session.map(|_| ToDispatcher::Leaving { endpoint, is_leaving })
     }
 
     /// The session has ended.
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -210,8 +210,8 @@
                 self.capacity.rest(now, router, endpoint, time_ms.into());
                 self.give_up_at_rest(now, router, &mut out);
             }
-            ToDispatcher::Leaving { endpoint, leaves } => {
-                self.capacity.set_leaving(router, endpoint, leaves);
+            ToDispatcher::Leaving { endpoint, is_leaving } => {
+                self.capacity.set_leaving(router, endpoint, is_leaving);
             }
             ToDispatcher::Cancel { seq, customer } => {
                 self.accounts.remove_if(customer, router, |w| w.seq == seq);
--- a/src/dispatch/tests/rests.rs
+++ b/src/dispatch/tests/rests.rs
@@ -13,8 +13,8 @@
     bench.send(ToDispatcher::Rest { endpoint: ENDPOINT, time_ms })
 }
 
-fn leaves(bench: &mut Bench, leaves: bool) -> Vec<Decision> {
-    bench.send(ToDispatcher::Leaving { endpoint: ENDPOINT, leaves })
+fn leaves(bench: &mut Bench, is_leaving: bool) -> Vec<Decision> {
+    bench.send(ToDispatcher::Leaving { endpoint: ENDPOINT, is_leaving })
 }
 
 #[test]
@@ -123,5 +123,5 @@
     client.set_leaving(EndpointId(2), false);
     let told: Vec<_> = client.attach(400, 1).into_iter().skip(1).collect();
     let rest = ToDispatcher::Rest { endpoint: ENDPOINT, time_ms: 600 };
-    assert_eq!(told, [ToDispatcher::Leaving { endpoint: EndpointId(1), leaves: true }, rest]);
+    assert_eq!(told, [ToDispatcher::Leaving { endpoint: EndpointId(1), is_leaving: true }, rest]);
 }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -44,7 +44,7 @@
     Finish { seq: u64, units: u32, completion: Completion },
     Cancel { seq: u64 },
     Rest { endpoint: EndpointId, time: Millis },
-    Leaving { endpoint: EndpointId, leaves: bool },
+    Leaving { endpoint: EndpointId, is_leaving: bool },
     Up(Connection),
     Failed { host: HostId },
     Down { session: u64 },
@@ -97,8 +97,8 @@
     }
 
     /// An endpoint told this router that it leaves, or is back after that.
-    pub fn set_leaving(&self, endpoint: EndpointId, leaves: bool) {
-        self.send(Event::Leaving { endpoint, leaves });
+    pub fn set_leaving(&self, endpoint: EndpointId, is_leaving: bool) {
+        self.send(Event::Leaving { endpoint, is_leaving });
     }
 
     fn send(&self, event: Event) {
@@ -230,8 +230,8 @@
                 let message = self.client.record_rest(now, endpoint, time);
                 self.send(message);
             }
-            Event::Leaving { endpoint, leaves } => {
-                let message = self.client.set_leaving(endpoint, leaves);
+            Event::Leaving { endpoint, is_leaving } => {
+                let message = self.client.set_leaving(endpoint, is_leaving);
                 self.send(message);
             }
             Event::Up(connection) => self.up(connection),
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -265,7 +265,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// Whether it leaves.
-        leaves: bool,
+        is_leaving: bool,
     },
     /// A waiting request was given up.
     Cancel {
