--- a/examples/spread.rs
+++ b/examples/spread.rs
@@ -98,9 +98,9 @@
 
 async fn answer(configs: Arc<Configs>, peers: Arc<Peers>, mut incoming: mpsc::Receiver<Incoming>) {
     while let Some(Incoming { open, writer, .. }) = incoming.recv().await {
-        if let Open::Pull { have, .. } = open {
+        if let Open::Pull { held_version, .. } = open {
             let sent = peers.sent.clone();
-            tokio::spawn(spread::answer_pull(configs.clone(), sent, have, writer));
+            tokio::spawn(spread::answer_pull(configs.clone(), sent, held_version, writer));
         }
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -202,11 +202,11 @@
             Open::Agree { host, peer } => {
                 tokio::spawn(serve::take_envelopes(control.clone(), host, peer, reader, writer));
             }
-            Open::Pull { have, .. } => {
+            Open::Pull { held_version, .. } => {
                 tokio::spawn(spread::answer_pull(
                     control.configs.clone(),
                     control.peers.sent.clone(),
-                    have,
+                    held_version,
                     writer,
                 ));
             }
--- a/src/router.rs
+++ b/src/router.rs
@@ -128,11 +128,11 @@
             Open::Dispatch { router: from, service, session } => {
                 router.dispatchers.attach(from, service, session, reader, writer);
             }
-            Open::Pull { have, .. } => {
+            Open::Pull { held_version, .. } => {
                 tokio::spawn(spread::answer_pull(
                     router.configs.clone(),
                     router.peers.sent.clone(),
-                    have,
+                    held_version,
                     writer,
                 ));
             }
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -80,9 +80,9 @@
         result
     }
 
-    /// What a process needs that has version `have`.
-    pub fn since(&self, have: u64) -> PullResponse {
-        self.history.lock().unwrap_or_else(PoisonError::into_inner).since(have)
+    /// What a process needs that has version `held_version`.
+    pub fn since(&self, held_version: u64) -> PullResponse {
+        self.history.lock().unwrap_or_else(PoisonError::into_inner).since(held_version)
     }
 
     /// Recent deltas, newest first.
@@ -96,10 +96,10 @@
 pub async fn answer_pull(
     configs: Arc<Configs>,
     sent: SentBytes,
-    have: u64,
+    held_version: u64,
     mut writer: OwnedWriteHalf,
 ) {
-    let pulled = configs.since(have);
+    let pulled = configs.since(held_version);
     match write_frame(&mut writer, &pulled).await {
         Ok(bytes) => sent.add(bytes),
         Err(error) => log::debug!("config: a pull broke off: {error}"),
@@ -110,16 +110,16 @@
 pub async fn follow(configs: Arc<Configs>, peers: Arc<Peers>) {
     let mut view = peers.watch();
     loop {
-        let have = configs.current().version;
+        let held_version = configs.current().version;
         let newest = view.borrow_and_update().live.iter().max_by_key(|m| m.version).cloned();
-        let behind = newest.filter(|m| m.version > have && m.host != peers.me);
+        let behind = newest.filter(|m| m.version > held_version && m.host != peers.me);
         let Some(member) = behind else {
             if view.changed().await.is_err() {
                 return;
             }
             continue;
         };
-        match pull(&peers, &member, have).await {
+        match pull(&peers, &member, held_version).await {
             Ok(pulled) => {
                 if !configs.adopt(pulled) {
                     tokio::time::sleep(PULL_PAUSE).await;
@@ -134,8 +134,8 @@
     }
 }
 
-async fn pull(peers: &Peers, member: &Heartbeat, have: u64) -> Result<PullResponse> {
-    let open = Open::Pull { host: peers.me, have };
+async fn pull(peers: &Peers, member: &Heartbeat, held_version: u64) -> Result<PullResponse> {
+    let open = Open::Pull { host: peers.me, held_version };
     let exchange = async {
         peers.links.wait_until_clear_to(member.host).await;
         let (mut reader, _writer) = peers.connect(member.peer, &open).await?;
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -108,12 +108,12 @@
         /// Grows with every connection of this router.
         session: u64,
     },
-    /// Asks once for the configuration after version `have`.
+    /// Asks once for the configuration after `held_version`.
     Pull {
         /// Who asks.
         host: HostId,
         /// What it has; 0 for nothing.
-        have: u64,
+        held_version: u64,
     },
     /// A control host sends agreement messages.
     Agree {
