--- a/bench/variants.py
+++ b/bench/variants.py
@@ -72,7 +72,7 @@
      "self.newest_ms = self.newest_ms.max(at_ms);", "self.newest_ms = at_ms;",
      LIB + ["a_clock_that_runs_backwards"], {}),
     ("lower versions are adopted", "src/config/history.rs",
-     "Pulled::Whole(config) if config.version > before => {", "Pulled::Whole(config) if config.version > 0 => {",
+     "PullResponse::Snapshot(config) if config.version > before => {", "PullResponse::Snapshot(config) if config.version > 0 => {",
      LIB + ["a_lower_or_equal_version_is_never_adopted"], {}),
     ("operations are not remembered", "src/control/state.rs",
      "if let Some(first) = self.operations.get(&operation) {", "if let Some(first) = self.operations.get(\"\") {",
