--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -153,7 +153,7 @@
     async fn query_host(&mut self, target: Heartbeat) {
         let host = target.host;
         let first_frame = Open::Claims { router: self.peers.me };
-        let connection = match self.peers.links.is_cut(host) {
+        let connection = match self.peers.links.is_cut_to(host) {
             true => None,
             false => self.peers.connect(target.peer, &first_frame).await.ok(),
         };
@@ -165,7 +165,7 @@
         let links = self.peers.links.clone();
         tokio::spawn(batch.run(writer, move || {
             let links = links.clone();
-            async move { links.clear_to(host).await }
+            async move { links.wait_until_clear_to(host).await }
         }));
         let (sender, mut answers) = mpsc::unbounded_channel();
         let reader_task = tokio::spawn(async move {
--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -93,8 +93,8 @@
             ("endpoints", endpoints as u64),
             ("drained_halls", drained as u64),
             ("live_routers", self.live_routers() as u64),
-            ("followers", self.followers.count() as u64),
-            ("followers_told", self.followers.count_told(version) as u64),
+            ("followers", self.subscribers.count() as u64),
+            ("followers_told", self.subscribers.count_sent(version) as u64),
             ("unknown_heartbeats", self.peers.unknown_heartbeats()),
             ("other_protocols", self.peers.other_protocols()),
             ("sent_bytes", self.peers.sent.get()),
@@ -108,6 +108,6 @@
 
     /// Bytes that this host has sent for one kind of traffic.
     fn sent_for(&self, traffic: Traffic) -> u64 {
-        self.peers.sent.of(traffic).get_own()
+        self.peers.sent.of(traffic).get_for_traffic()
     }
 }
--- a/src/dispatch/capacity.rs
+++ b/src/dispatch/capacity.rs
@@ -259,9 +259,9 @@
     }
 
     /// Records that a router reports an endpoint as leaving, or as no longer leaving.
-    pub fn set_leaving(&mut self, router: HostId, endpoint: EndpointId, leaves: bool) {
+    pub fn set_leaving(&mut self, router: HostId, endpoint: EndpointId, is_leaving: bool) {
         let Some(state) = self.endpoints.get_mut(&endpoint) else { return };
-        match leaves {
+        match is_leaving {
             true => state.leaving_reports.insert(router),
             false => state.leaving_reports.remove(&router),
         };
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -170,7 +170,7 @@
     }
 
     /// A connection to a host failed.
-    pub fn avoid(&self, host: HostId) {
+    pub fn record_connect_failure(&self, host: HostId) {
         let now = self.clock.now();
         self.with_table(|t| t.avoid(now, host));
     }
@@ -254,7 +254,7 @@
     };
     let view = peers.view();
     let known = view.live.iter().chain(&view.suspected);
-    let cut = known.filter(|m| peers.links.is_cut(m.host)).map(|m| m.peer);
+    let cut = known.filter(|m| peers.links.is_cut_to(m.host)).map(|m| m.peer);
     let cut: HashSet<SocketAddr> = cut.collect();
     let heartbeats = peers.sent.of(Traffic::Heartbeats);
     for target in targets.into_iter().filter(|target| !cut.contains(target)) {
@@ -284,7 +284,7 @@
         }
         let now = peers.clock.now();
         let answer = peers.with_table(|t| t.on_heartbeat(now, from, beat));
-        if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut(sender)) {
+        if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut_to(sender)) {
             log_answer(sender, &answer);
             send_beat(&peers, &udp, &answer, vec![to]).await;
         }
@@ -293,8 +293,8 @@
 
 fn log_answer(to: HostId, answer: &Beat) {
     match answer {
-        Beat::Ask(_) => log::info!("member: host {to} is not known, asked for the whole"),
-        Beat::Whole(_) => log::info!("member: introduced to host {to}"),
+        Beat::RequestFull(_) => log::info!("member: host {to} is not known, asked for the whole"),
+        Beat::Full(_) => log::info!("member: introduced to host {to}"),
         Beat::Brief { .. } => {}
     }
 }
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -14,7 +14,7 @@
 use crate::peer::{PeerReader, Peers};
 use crate::spread::Configs;
 use crate::telemetry::{RequestId, Trace};
-use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, Patient, ToDispatcher};
+use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, QueuedMessage, ToDispatcher};
 
 /// How often a dispatcher looks at deadlines and orphans.
 const TICK: Duration = Duration::from_millis(50);
@@ -74,11 +74,11 @@
         let peers = self.peers.clone();
         let sent = (router != peers.me).then(|| peers.sent.clone());
         let (out, batch) = BatchWriter::new(sent);
-        let batch = batch.keeping_alive();
+        let batch = batch.with_keep_alives();
         let links = peers.links.clone();
         tokio::spawn(batch.run(writer, move || {
             let links = links.clone();
-            async move { links.clear_to(router).await }
+            async move { links.wait_until_clear_to(router).await }
         }));
         let closed = CancellationToken::new();
         let _close = closed.clone().drop_guard();
@@ -146,7 +146,7 @@
             // The dispatcher has closed the session.
             () = closed.cancelled() => break,
         };
-        peers.links.clear_from(router).await;
+        peers.links.wait_until_clear_from(router).await;
         let messages = Event::Messages { router, session: number, messages };
         if events.send(messages).await.is_err() {
             return;
@@ -269,8 +269,8 @@
                     );
                     self.decide(router, seq, text);
                     let grant = FromDispatcher::Grant { seq, endpoint, charged, lead };
-                    let patience = Duration::from_millis(max_delay_ms);
-                    self.send(router, grant, patience);
+                    let max_delay = Duration::from_millis(max_delay_ms);
+                    self.send(router, grant, max_delay);
                 }
                 Decision::Refuse { router, seq, customer, reason, retry_after_ms, hold_ms } => {
                     let text = format!(
@@ -302,10 +302,10 @@
         self.trace.decide(RequestId { router, incarnation, seq }, "dispatch", text);
     }
 
-    fn send(&self, router: HostId, message: FromDispatcher, patience: Duration) {
+    fn send(&self, router: HostId, message: FromDispatcher, max_delay: Duration) {
         if let Some(Session { out, .. }) = self.sessions.get(&router) {
             // A session that has just closed is noticed by its reader.
-            let _ = out.send(Patient { message, patience });
+            let _ = out.send(QueuedMessage { message, max_delay });
         }
     }
 }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -19,7 +19,7 @@
 use crate::settings::DispatchMode;
 use crate::wire::{
     BatchSender, BatchWriter, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Open,
-    Patient, RefuseReason, ToDispatcher,
+    QueuedMessage, RefuseReason, ToDispatcher,
 };
 
 /// How often a link without a dispatcher looks for one.
@@ -44,7 +44,7 @@
     Finish { seq: u64, units: u32, completion: Completion },
     Cancel { seq: u64 },
     Rest { endpoint: EndpointId, time: Millis },
-    Leaving { endpoint: EndpointId, leaves: bool },
+    Leaving { endpoint: EndpointId, is_leaving: bool },
     Up(Connection),
     Failed { host: HostId },
     Down { session: u64 },
@@ -97,8 +97,8 @@
     }
 
     /// An endpoint told this router that it leaves, or is back after that.
-    pub fn set_leaving(&self, endpoint: EndpointId, leaves: bool) {
-        self.send(Event::Leaving { endpoint, leaves });
+    pub fn set_leaving(&self, endpoint: EndpointId, is_leaving: bool) {
+        self.send(Event::Leaving { endpoint, is_leaving });
     }
 
     fn send(&self, event: Event) {
@@ -230,14 +230,14 @@
                 let message = self.client.record_rest(now, endpoint, time);
                 self.send(message);
             }
-            Event::Leaving { endpoint, leaves } => {
-                let message = self.client.set_leaving(endpoint, leaves);
+            Event::Leaving { endpoint, is_leaving } => {
+                let message = self.client.set_leaving(endpoint, is_leaving);
                 self.send(message);
             }
             Event::Up(connection) => self.up(connection),
             Event::Failed { host } => {
                 self.connecting = None;
-                self.peers.avoid(host);
+                self.peers.record_connect_failure(host);
             }
             Event::Down { session } => self.down(session),
             Event::Messages { session, messages } => {
@@ -317,7 +317,7 @@
 
     /// How long a message may wait for others: reports a small part of the time
     /// that requests take here, wants only where others wait already.
-    fn patience(&self, message: &ToDispatcher) -> Duration {
+    fn max_delay(&self, message: &ToDispatcher) -> Duration {
         let of_reports = self.mean_run / PATIENCE_PART;
         match message {
             ToDispatcher::Done { .. } | ToDispatcher::Progress { .. } => of_reports.min(PATIENCE),
@@ -339,8 +339,8 @@
     fn send(&self, message: Option<ToDispatcher>) {
         if let (Some(message), Some((connection, _))) = (message, &self.connection) {
             // A broken connection is noticed by its reader.
-            let patience = self.patience(&message);
-            let _ = connection.out.send(Patient { message, patience });
+            let max_delay = self.max_delay(&message);
+            let _ = connection.out.send(QueuedMessage { message, max_delay });
         }
     }
 }
@@ -354,7 +354,7 @@
 ) {
     let host = target.host;
     let open = Open::Dispatch { router: peers.me, service, session };
-    let connected = match peers.links.is_cut(host) {
+    let connected = match peers.links.is_cut_to(host) {
         true => None,
         false => peers.connect(target.peer, &open).await.ok(),
     };
@@ -368,15 +368,15 @@
     let links = peers.links.clone();
     let write = batch.run(writer, move || {
         let links = links.clone();
-        async move { links.clear_to(host).await }
+        async move { links.wait_until_clear_to(host).await }
     });
     let writing = AbortOnDropHandle::new(tokio::spawn(write));
     let dispatcher = (host, target.incarnation);
     // Requests wait here for grants, and nothing else would show that none can come.
-    let mut reader = reader.ends_when_silent();
+    let mut reader = reader.with_silence_timeout();
     let _ = events.send(Event::Up(Connection { session, dispatcher, out }));
     while let Ok(messages) = reader.next::<Vec<FromDispatcher>>().await {
-        peers.links.clear_from(host).await;
+        peers.links.wait_until_clear_from(host).await;
         let _ = events.send(Event::Messages { session, messages });
     }
     drop(writing);
