--- a/src/emulate.rs
+++ b/src/emulate.rs
@@ -20,6 +20,6 @@
 async fn serve(listen: std::net::SocketAddr, app: Router) -> Result<()> {
     let what = format!("listen on {listen}");
     let listener = TcpListener::bind(listen).await.context(NetSnafu { what: what.clone() })?;
-    let listener = listener.tap_io(crate::router::send_at_once);
+    let listener = listener.tap_io(crate::router::set_nodelay);
     axum::serve(listener, app).await.context(NetSnafu { what })
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -91,7 +91,7 @@
     let listen = router.settings.listen;
     let what = format!("listen for callers on {listen}");
     let listener = TcpListener::bind(listen).await;
-    let listener = listener.context(NetSnafu { what: what.clone() })?.tap_io(send_at_once);
+    let listener = listener.context(NetSnafu { what: what.clone() })?.tap_io(set_nodelay);
     log::info!("router: host {} takes requests on {listen}", router.peers.me);
     let drain = Duration::from_millis(router.settings.drain_ms);
     let app = caller::app(router.clone());
@@ -116,7 +116,7 @@
 
 /// Without it the end of a stream waits for the caller's delayed
 /// acknowledgement of the event before.
-pub(crate) fn send_at_once(stream: &mut TcpStream) {
+pub(crate) fn set_nodelay(stream: &mut TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("caller: a connection stays slow: {error}");
     }
