--- a/bench/variants.py
+++ b/bench/variants.py
@@ -84,7 +84,7 @@
      "Err(_) => Attempt::Unknown(UnknownReason::Broken),\n    }\n}", "Err(_) => Attempt::NotSent,\n    }\n}",
      scenario("a break after the call was sent"), {}),
     ("calls are not claimed", "src/router/once.rs",
-     "    if !job.call.once {\n        return Ok(None);", "    if true {\n        return Ok(None);",
+     "    if !job.call.run_once {\n        return Ok(None);", "    if true {\n        return Ok(None);",
      scenario("a resend through another router"), {}),
     ("crossed answers are passed on", "src/delivery/attempt.rs",
      "if echoed.is_some_and(|id| id != call.id) {", "if false {",
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -1,6 +1,6 @@
-//! Callers' side: HTTP for plain services, chat completions for models.
+//! HTTP interface for callers: plain HTTP requests for plain services, chat completions for models.
 //!
-//! The only module that knows the shapes callers use.
+//! Only this module depends on the formats of callers' requests.
 
 use std::sync::Arc;
 
@@ -18,12 +18,12 @@
 use crate::delivery::{Outcome, header};
 use crate::router::{Request, Router};
 
-/// Characters taken for one token of a prompt.
-const CHARS_PER_TOKEN: usize = 4;
-/// Characters of the prefixes that are hashed for cache affinity.
-const PREFIX_CHARS: [usize; 4] = [1_024, 2_048, 4_096, 8_192];
+/// Number of bytes of a prompt that count as one token.
+const BYTES_PER_TOKEN: usize = 4;
+/// Lengths of the prompt prefixes that are hashed for cache affinity, in bytes.
+const PREFIX_BYTES: [usize; 4] = [1_024, 2_048, 4_096, 8_192];
 
-/// The parts of a chat completion that a router reads.
+/// The fields of a chat completion request that a router reads.
 #[derive(Debug, Deserialize)]
 struct Chat {
     model: String,
@@ -36,7 +36,7 @@
     content: serde_json::Value,
 }
 
-/// The callers' application.
+/// Returns the HTTP application for callers.
 pub fn app(router: Arc<Router>) -> App {
     let limit = DefaultBodyLimit::max(router.settings.max_body);
     App::new()
@@ -60,14 +60,17 @@
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Response<Body> {
-    let (customer, body) = match read(&headers, body) {
-        Ok(read) => read,
+    let (customer, body) = match read_request(&headers, body) {
+        Ok(parsed) => parsed,
         Err(response) => return response,
     };
     let chat: Chat = match serde_json::from_slice(&body) {
         Ok(chat) => chat,
         Err(error) => {
-            return bad(StatusCode::BAD_REQUEST, format!("not a chat completion: {error}"));
+            return error_response(
+                StatusCode::BAD_REQUEST,
+                format!("not a chat completion: {error}"),
+            );
         }
     };
     let prompt: String = chat.messages.iter().filter_map(|m| m.content.as_str()).collect();
@@ -78,8 +81,8 @@
         path: "/v1/chat/completions".to_string(),
         headers,
         body,
-        prompt_tokens: prompt.len().div_ceil(CHARS_PER_TOKEN) as u32,
-        prefix: prefixes(&prompt),
+        prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN) as u32,
+        prefix: prefix_hashes(&prompt),
     };
     router.serve(request).await
 }
@@ -92,8 +95,8 @@
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Response<Body> {
-    let (customer, body) = match read(&headers, body) {
-        Ok(read) => read,
+    let (customer, body) = match read_request(&headers, body) {
+        Ok(parsed) => parsed,
         Err(response) => return response,
     };
     let query = uri.query().map(|q| format!("?{q}")).unwrap_or_default();
@@ -110,7 +113,7 @@
     router.serve(request).await
 }
 
-fn read(
+fn read_request(
     headers: &HeaderMap,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<(String, Bytes), Response<Body>> {
@@ -118,23 +121,26 @@
         Ok(body) => body,
         Err(rejection) => {
             let response = rejection.into_response();
-            return Err(bad(response.status(), "the body cannot be read or is too large".into()));
+            return Err(error_response(
+                response.status(),
+                "the body cannot be read or is too large".into(),
+            ));
         }
     };
     match header::text(headers, header::CUSTOMER) {
         Some(customer) => Ok((customer.to_string(), body)),
         None => {
             let message = format!("name the customer in {}", header::CUSTOMER);
-            Err(bad(StatusCode::UNAUTHORIZED, message))
+            Err(error_response(StatusCode::UNAUTHORIZED, message))
         }
     }
 }
 
-fn bad(status: StatusCode, message: String) -> Response<Body> {
-    Outcome::Bad(status, message).into_response("")
+fn error_response(status: StatusCode, message: String) -> Response<Body> {
+    Outcome::BadRequest(status, message).into_response("")
 }
 
-fn prefixes(prompt: &str) -> Vec<u32> {
-    let lengths = PREFIX_CHARS.iter().filter(|n| prompt.len() >= **n);
+fn prefix_hashes(prompt: &str) -> Vec<u32> {
+    let lengths = PREFIX_BYTES.iter().filter(|n| prompt.len() >= **n);
     lengths.map(|n| xxh3_64(&prompt.as_bytes()[..*n]) as u32).collect()
 }
--- a/src/delivery.rs
+++ b/src/delivery.rs
@@ -1,7 +1,7 @@
-//! Calls to endpoints, and what callers may be told about them.
+//! Calls to endpoints, and the outcomes that are reported to callers.
 //!
-//! The result of an attempt is a value. "Not sent" needs proof: no byte of the
-//! call left, or the endpoint says itself that it did not run it.
+//! The result of an attempt is a value. A call is reported as not run only with proof: no byte of
+//! it was sent, or the endpoint itself answered that it did not run it.
 
 mod attempt;
 mod budget;
@@ -12,8 +12,8 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use attempt::pass_on;
-pub use attempt::{Answer, Attempt, Attempted, Call, Caller, MAX_ANSWER};
+pub(crate) use attempt::strip_hop_headers;
+pub use attempt::{Answer, Attempt, AttemptReport, Call, EndpointClient, MAX_ANSWER_BYTES};
 pub use budget::RetryBudget;
 pub use client::HttpClient;
 pub use outcome::{NotRunReason, Outcome, UnknownReason};
--- a/src/delivery/attempt.rs
+++ b/src/delivery/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have an endpoint answer a call.
+//! A single attempt to call an endpoint.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use super::outcome::UnknownReason;
 use crate::notice::Notice;
 
-/// The largest answer that is not streamed, in bytes.
-pub const MAX_ANSWER: usize = 16 << 20;
-/// Headers that concern one connection only, and are not passed on.
-const HOP_HEADERS: [&str; 7] =
+/// Maximum size of an answer that is not streamed, in bytes.
+pub const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Hop-by-hop headers: they apply to one connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 7] =
     ["connection", "keep-alive", "transfer-encoding", "content-length", "host", "te", "upgrade"];
 
 /// A call as it is sent to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Number of the request, echoed by endpoints.
+    /// Request id, echoed by endpoints.
     pub id: String,
     /// The HTTP method.
     pub method: Method,
@@ -33,18 +33,18 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Whether the call may run at most once.
-    pub once: bool,
-    /// Tokens already received, when a cut stream is resumed.
-    pub resume: Option<u32>,
+    /// Whether the call may run at most once, so that it must not be repeated.
+    pub run_once: bool,
+    /// Number of tokens already received, when a truncated stream is resumed.
+    pub resume_after: Option<u32>,
 }
 
-/// An endpoint's whole answer, or its stream.
+/// An endpoint's answer: complete or streamed.
 #[derive(Debug)]
 pub enum Answer {
-    /// All of it.
-    Whole(Response<Bytes>),
-    /// Its head, with server-sent events to follow.
+    /// The complete answer, body included.
+    Complete(Response<Bytes>),
+    /// The head of the answer; server-sent events follow in the body.
     Stream(Response<Incoming>),
 }
 
@@ -53,50 +53,55 @@
 pub enum Attempt {
     /// The endpoint answered.
     Answered(Answer),
-    /// Nothing was sent: proof that the call did not run.
+    /// No byte was sent, which proves that the call did not run.
     NotSent,
-    /// The endpoint says that it did not run the call.
+    /// The endpoint answered that it did not run the call.
     Refused,
-    /// The call was sent; what became of it is not known.
+    /// The call was sent; whether it ran is not known.
     Unknown(UnknownReason),
 }
 
-/// What came of an attempt, and what the endpoint said of itself.
+/// The result of an attempt, and the notice that the endpoint gave in its answer.
 #[derive(Debug)]
-pub struct Attempted {
+pub struct AttemptReport {
     /// The result.
     pub attempt: Attempt,
-    /// What the head of the answer said; nothing where there was none.
+    /// The notice in the head of the answer; empty if there was no answer.
     pub notice: Notice,
 }
 
-impl From<Attempt> for Attempted {
-    fn from(attempt: Attempt) -> Attempted {
-        Attempted { attempt, notice: Notice::default() }
+impl From<Attempt> for AttemptReport {
+    fn from(attempt: Attempt) -> AttemptReport {
+        AttemptReport { attempt, notice: Notice::default() }
     }
 }
 
-/// Makes attempts.
+/// HTTP client for calls to endpoints.
 #[derive(Clone, Debug, Default)]
-pub struct Caller {
+pub struct EndpointClient {
     client: HttpClient,
 }
 
-impl Caller {
-    /// Calls `address` and waits for the head of its answer, or for the whole
-    /// when it is not streamed, but not longer than `limit`.
-    pub async fn attempt(&self, address: SocketAddr, call: &Call, limit: Duration) -> Attempted {
+impl EndpointClient {
+    /// Calls `address` and waits up to `limit` for the head of the answer if it is streamed, or
+    /// for the complete answer otherwise.
+    pub async fn attempt(
+        &self,
+        address: SocketAddr,
+        call: &Call,
+        limit: Duration,
+    ) -> AttemptReport {
         let Some(request) = call.request(address) else {
             return Attempt::NotSent.into();
         };
         match tokio::time::timeout(limit, self.exchange(call, request)).await {
-            Ok(attempted) => attempted,
+            Ok(report) => report,
             Err(_) => Attempt::Unknown(UnknownReason::TimedOut).into(),
         }
     }
 
-    async fn exchange(&self, call: &Call, request: Request<Body>) -> Attempted {
-        let sent = match call.once {
+    async fn exchange(&self, call: &Call, request: Request<Body>) -> AttemptReport {
+        let sent = match call.run_once {
             true => self.client.send_fresh(request).await,
             false => self.client.send(request).await,
         };
@@ -107,12 +112,12 @@
         };
         let leaving = HeaderName::from_static(header::LEAVING);
         let notice = Notice::read(response.status(), response.headers(), &leaving);
-        Attempted { attempt: judge(call, response).await, notice }
+        AttemptReport { attempt: classify(call, response).await, notice }
     }
 }
 
-/// What an answer whose head has come says of the call.
-async fn judge(call: &Call, response: Response<Incoming>) -> Attempt {
+/// Determines the result of an attempt from an answer whose head has been received.
+async fn classify(call: &Call, response: Response<Incoming>) -> Attempt {
     if response.headers().contains_key(header::NOT_RUN) {
         return Attempt::Refused;
     }
@@ -123,15 +128,15 @@
     if is_stream(response.headers()) {
         return Attempt::Answered(Answer::Stream(response));
     }
-    whole(response).await
+    read_complete(response).await
 }
 
-async fn whole(response: Response<Incoming>) -> Attempt {
+async fn read_complete(response: Response<Incoming>) -> Attempt {
     let (head, body) = response.into_parts();
-    match Limited::new(body, MAX_ANSWER).collect().await {
+    match Limited::new(body, MAX_ANSWER_BYTES).collect().await {
         Ok(body) => {
             let answer = Response::from_parts(head, body.to_bytes());
-            Attempt::Answered(Answer::Whole(answer))
+            Attempt::Answered(Answer::Complete(answer))
         }
         Err(_) => Attempt::Unknown(UnknownReason::Broken),
     }
@@ -142,23 +147,23 @@
     kind.is_some_and(|k| k.starts_with("text/event-stream"))
 }
 
-/// The headers of an answer that are passed on to the caller.
-pub(crate) fn pass_on(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
-    for name in HOP_HEADERS {
-        kept.remove(name);
+/// Copies headers for forwarding in either direction, without the hop-by-hop ones.
+pub(crate) fn strip_hop_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut end_to_end = headers.clone();
+    for name in HOP_BY_HOP_HEADERS {
+        end_to_end.remove(name);
     }
-    kept
+    end_to_end
 }
 
 impl Call {
     fn request(&self, address: SocketAddr) -> Option<Request<Body>> {
         let uri = format!("http://{address}{}", self.path);
         let mut request = Request::builder().method(self.method.clone()).uri(uri);
-        *request.headers_mut()? = pass_on(&self.headers);
+        *request.headers_mut()? = strip_hop_headers(&self.headers);
         let headers = request.headers_mut()?;
         headers.insert(header::REQUEST, HeaderValue::from_str(&self.id).ok()?);
-        if let Some(tokens) = self.resume {
+        if let Some(tokens) = self.resume_after {
             headers.insert(header::RESUME, tokens.into());
         }
         request.body(Body::from(self.body.clone())).ok()
--- a/src/delivery/budget.rs
+++ b/src/delivery/budget.rs
@@ -1,11 +1,11 @@
-//! A limit on retries, so that they never amplify an overload.
+//! Limits retries, so that they do not amplify an overload.
 
-/// Retries earned by each request.
-const EARNED: f64 = 0.1;
-/// Retries that can be saved up; also what a customer starts with.
-const MOST: f64 = 10.0;
+/// Number of retries earned by each request.
+const EARNED_PER_REQUEST: f64 = 0.1;
+/// Maximum number of saved retries; also the initial budget of a customer.
+const MAX_SAVED: f64 = 10.0;
 
-/// One customer's budget of retries: each request earns a tenth of one.
+/// Retry budget of one customer: each request earns a tenth of a retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     saved: f64,
@@ -13,17 +13,17 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { saved: MOST }
+        RetryBudget { saved: MAX_SAVED }
     }
 }
 
 impl RetryBudget {
-    /// A new request was accepted.
+    /// Adds what an accepted request earns.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST);
+        self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
-    /// Takes one retry, if one is left.
+    /// Spends one retry; returns false if none is left.
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
--- a/src/delivery/client.rs
+++ b/src/delivery/client.rs
@@ -1,4 +1,4 @@
-//! HTTP connections to endpoints and the platform.
+//! HTTP client for endpoints and the platform.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use hyper_util::client::legacy::{Client, Error, ResponseFuture};
 use hyper_util::rt::TokioExecutor;
 
-/// How long a connection to an endpoint may take.
+/// Time limit for opening a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an unused connection is kept.
-const IDLE: Duration = Duration::from_secs(20);
+/// Time after which an idle pooled connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A client that never repeats a call by itself.
+/// An HTTP client that never retries a call by itself.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     pooled: Client<HttpConnector, Body>,
@@ -31,27 +31,27 @@
         };
         let mut builder = Client::builder(TokioExecutor::new());
         builder.retry_canceled_requests(false);
-        builder.pool_idle_timeout(IDLE);
+        builder.pool_idle_timeout(IDLE_TIMEOUT);
         builder.pool_timer(hyper_util::rt::TokioTimer::new());
         let pooled = builder.build(connector());
-        // Without a pool, a failure to connect proves that nothing was sent.
+        // On a connection of its own, a failure to connect proves that no byte was sent.
         builder.pool_max_idle_per_host(0);
         HttpClient { pooled, fresh: builder.build(connector()) }
     }
 }
 
 impl HttpClient {
-    /// Sends a request that may be repeated, on a kept connection if there is one.
+    /// Sends a request that may be repeated, on a pooled connection if there is one.
     pub fn send(&self, request: Request<Body>) -> ResponseFuture {
         self.pooled.request(request)
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection, which is not reused.
     pub fn send_fresh(&self, request: Request<Body>) -> ResponseFuture {
         self.fresh.request(request)
     }
 
-    /// Fetches a page.
+    /// Sends a GET request for `uri`.
     pub async fn get(&self, uri: Uri) -> Result<Response<Incoming>, Error> {
         let mut request = Request::new(Body::empty());
         *request.uri_mut() = uri;
--- a/src/delivery/header.rs
+++ b/src/delivery/header.rs
@@ -1,34 +1,34 @@
-//! Header names on the wire, towards callers and endpoints.
+//! Names of HTTP headers exchanged with callers and endpoints.
 
 use axum::http::HeaderMap;
 
-/// The customer, set by callers.
+/// The customer's name, set by callers.
 pub const CUSTOMER: &str = "x-bramblecrank-customer";
-/// Milliseconds within which the caller wants its answer, set by callers.
+/// Deadline for the answer in milliseconds from arrival, set by callers.
 pub const DEADLINE: &str = "x-bramblecrank-deadline-ms";
-/// What became of the request: `answered`, `not-run`, `running` or `unknown`.
+/// Outcome of the request: `answered`, `not-run`, `running` or `unknown`.
 pub const OUTCOME: &str = "x-bramblecrank-outcome";
-/// Why, when it was not answered.
+/// Reason for the outcome, set if the request was not answered.
 pub const REASON: &str = "x-bramblecrank-reason";
-/// The router's number of the request, for `bramblecrank explain`.
+/// Request id given by the router, for `bramblecrank explain`.
 pub const TRACE: &str = "x-bramblecrank-request";
-/// Milliseconds after which to come back; more exact than `retry-after`.
+/// Milliseconds after which to retry; more precise than `retry-after`, which is in seconds.
 pub const RETRY_AFTER_MS: &str = "x-bramblecrank-retry-after-ms";
-/// Set when the answer is the recorded one of an earlier run.
+/// Set if the answer is the recorded answer of an earlier call with the same key.
 pub const REPLAYED: &str = "x-bramblecrank-replayed";
-/// Names a call that may not be repeated, set by callers.
+/// Key that identifies a run-once call across resends, set by callers.
 pub const KEY: &str = "idempotency-key";
-/// The request's number towards endpoints, echoed in their answers.
+/// Request id sent to endpoints, which echo it in their answers.
 pub const REQUEST: &str = "x-request-id";
-/// Tokens already received, when a cut stream is resumed.
+/// Number of tokens already received, sent to resume a truncated stream.
 pub const RESUME: &str = "x-resume-tokens";
-/// Set by an endpoint that has not run a call and will not.
+/// Set by an endpoint that has not run a call and will not run it.
 pub const NOT_RUN: &str = "x-not-run";
 
-/// Set to `1` by an endpoint that leaves: it finishes what it has and wants nothing new.
+/// Set to `1` by an endpoint that is leaving: it finishes its requests and accepts no new ones.
 pub const LEAVING: &str = "x-leaving";
 
-/// A header's value as text.
+/// Returns the value of a header if it is present and valid text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok())
 }
--- a/src/delivery/outcome.rs
+++ b/src/delivery/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told, as a value and on the wire.
+//! Outcomes of requests, and the responses that report them to callers.
 
 use axum::body::Body;
 use axum::http::{HeaderValue, Response, StatusCode};
@@ -10,19 +10,20 @@
 /// Why a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NotRunReason {
-    /// The dispatcher or the router refused it.
+    /// The dispatcher or the router refused the request.
     Refused(RefuseReason),
-    /// The customer has too many body bytes waiting here.
+    /// Too many body bytes of the customer are waiting at this router.
     TooManyBytes,
-    /// The router holds no configuration yet.
+    /// The router has not received a configuration yet.
     NoConfiguration,
     /// The router is in a planned stop.
     Stopping,
-    /// Endpoints refused it until the retry budget or the deadline ended.
+    /// Endpoints could not be called or refused the request, and the retries or the deadline ran
+    /// out.
     EndpointsRefuse,
-    /// Run-once claims cannot be recorded: no majority of control hosts in reach.
+    /// A run-once claim cannot be recorded: no majority of control hosts is reachable.
     NoMajority,
-    /// It crashed the endpoints that ran it before.
+    /// The request is refused because endpoints that ran it crashed.
     CrashesEndpoints,
 }
 
@@ -60,9 +61,9 @@
     Broken,
     /// No answer came before the deadline.
     TimedOut,
-    /// The answer was another request's.
+    /// The answer belongs to another request.
     Crossed,
-    /// An earlier send of the same key ended without a known answer.
+    /// An earlier call with the same key ended without a known answer.
     Earlier,
 }
 
@@ -78,21 +79,22 @@
     }
 }
 
-/// What became of a request.
+/// Final outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
     /// An endpoint answered.
     Answered(Response<Body>),
-    /// It did not run; come back after so many milliseconds.
+    /// The request did not run; the caller may retry after this many milliseconds.
     NotRun(NotRunReason, u32),
-    /// An earlier send of the same key is still running.
+    /// An earlier call with the same key is still running; the caller may retry after this many
+    /// milliseconds.
     Running(u32),
-    /// An earlier send of the same key was answered; its answer is kept no more.
+    /// An earlier call with the same key was answered, but its answer is not kept.
     AnsweredBefore,
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
-    /// The request itself is wrong; it did not run.
-    Bad(StatusCode, String),
+    /// The request is invalid and did not run.
+    BadRequest(StatusCode, String),
 }
 
 impl Outcome {
@@ -100,13 +102,13 @@
     pub fn name(&self) -> &'static str {
         match self {
             Outcome::Answered(_) | Outcome::AnsweredBefore => "answered",
-            Outcome::NotRun(..) | Outcome::Bad(..) => "not-run",
+            Outcome::NotRun(..) | Outcome::BadRequest(..) => "not-run",
             Outcome::Running(_) => "running",
             Outcome::Unknown(_) => "unknown",
         }
     }
 
-    /// The reason's short name; empty when answered.
+    /// A short name of the reason; empty if the request was answered.
     pub fn reason(&self) -> &'static str {
         match self {
             Outcome::Answered(_) => "",
@@ -114,23 +116,23 @@
             Outcome::NotRun(reason, _) => reason.name(),
             Outcome::Running(_) => "still-running",
             Outcome::Unknown(reason) => reason.name(),
-            Outcome::Bad(..) => "bad-request",
+            Outcome::BadRequest(..) => "bad-request",
         }
     }
 
-    /// The response that says so.
+    /// Converts the outcome to the response for the caller; `trace` is the request id.
     pub fn into_response(self, trace: &str) -> Response<Body> {
         let (name, reason) = (self.name(), self.reason());
         let (mut response, retry_ms) = match self {
             Outcome::Answered(response) => (response, None),
-            Outcome::NotRun(why, retry) => (error(why.status(), reason), Some(retry)),
+            Outcome::NotRun(cause, retry) => (error(cause.status(), reason), Some(retry)),
             Outcome::Running(retry) => (error(StatusCode::CONFLICT, reason), Some(retry)),
             Outcome::AnsweredBefore => (error(StatusCode::GONE, reason), None),
             Outcome::Unknown(UnknownReason::TimedOut) => {
                 (error(StatusCode::GATEWAY_TIMEOUT, reason), None)
             }
             Outcome::Unknown(_) => (error(StatusCode::BAD_GATEWAY, reason), None),
-            Outcome::Bad(status, message) => (error(status, &message), None),
+            Outcome::BadRequest(status, message) => (error(status, &message), None),
         };
         let headers = response.headers_mut();
         headers.insert(header::OUTCOME, HeaderValue::from_static(name));
--- a/src/delivery/sse.rs
+++ b/src/delivery/sse.rs
@@ -1,12 +1,12 @@
-//! Server-sent events of a model's stream.
+//! Parser for the server-sent events of a model's stream.
 
 use bytes::{Bytes, BytesMut};
 use serde::Deserialize;
 
-/// The data of the event that ends a stream.
+/// Data of the event that ends a stream.
 pub const DONE: &str = "[DONE]";
-/// The longest event an endpoint may send, in bytes.
-const MAX_EVENT: usize = 1 << 20;
+/// Maximum length of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Splits a byte stream into events.
 #[derive(Debug, Default)]
@@ -14,34 +14,34 @@
     buffer: BytesMut,
 }
 
-/// One event with its bytes as received.
+/// One event, parsed and as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// All of it, the blank line included.
+    /// The bytes received, including the blank line that ends the event.
     pub raw: Bytes,
-    /// Its data.
+    /// The contents of its `data:` lines, joined by line feeds.
     pub data: String,
 }
 
-/// An event that is too long or is not text.
+/// An event that is too long or is not valid UTF-8.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadEvent;
 
 impl Splitter {
-    /// Adds bytes received.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     pub fn next(&mut self) -> Result<Option<Event>, BadEvent> {
-        let Some((end, gap)) = self.boundary() else {
-            return match self.buffer.len() > MAX_EVENT {
+        let Some((end, separator_len)) = self.boundary() else {
+            return match self.buffer.len() > MAX_EVENT_BYTES {
                 true => Err(BadEvent),
                 false => Ok(None),
             };
         };
-        let raw = self.buffer.split_to(end + gap).freeze();
+        let raw = self.buffer.split_to(end + separator_len).freeze();
         let text = std::str::from_utf8(&raw[..end]).map_err(|_| BadEvent)?;
         let lines = text.lines().filter_map(|l| l.strip_prefix("data:"));
         let data: Vec<_> = lines.map(|l| l.strip_prefix(' ').unwrap_or(l)).collect();
@@ -63,24 +63,24 @@
     haystack.windows(needle.len()).position(|w| w == needle)
 }
 
-/// Tokens counted by the engine.
+/// Token counts reported by the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Usage {
-    /// Of the prompt.
+    /// Number of tokens of the prompt.
     #[serde(default)]
     pub prompt_tokens: u32,
-    /// Generated so far.
+    /// Number of tokens generated so far.
     #[serde(default)]
     pub completion_tokens: u32,
 }
 
-/// What a router reads of a chunk or of a whole completion.
+/// The fields that are read from a chunk or a complete completion.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Chunk {
-    /// The request that the engine answers.
+    /// Id of the request that the engine answers.
     #[serde(default)]
     pub id: Option<String>,
-    /// Tokens so far, where the engine says so.
+    /// Token counts so far, if the engine reports them.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn events_are_split_wherever_packets_end() {
+fn events_are_split_at_any_packet_boundary() {
     let whole = "data: {\"a\":1}\n\ndata: x\ndata: y\n\ndata: [DONE]\n\n";
     let expected = ["{\"a\":1}", "x\ny", DONE];
     assert_eq!(events(&[whole]), expected);
@@ -25,19 +25,19 @@
 }
 
 #[test]
-fn events_may_end_their_lines_in_two_ways() {
+fn events_may_end_with_lf_or_crlf() {
     assert_eq!(events(&["data: a\r\n\r\ndata: b\n\n"]), ["a", "b"]);
 }
 
 #[test]
-fn an_event_that_is_not_text_is_an_error() {
+fn an_event_that_is_not_utf8_is_an_error() {
     let mut splitter = Splitter::default();
     splitter.push(b"data: \xff\n\n");
     assert!(splitter.next().is_err());
 }
 
 #[test]
-fn retries_are_a_tenth_of_requests() {
+fn each_request_earns_a_tenth_of_a_retry() {
     let mut budget = RetryBudget::default();
     let saved = (0..100).filter(|_| budget.spend()).count();
     assert_eq!(saved, 10);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn not_run_always_says_when_to_come_back() {
+fn not_run_response_has_retry_after() {
     let reason = NotRunReason::Refused(RefuseReason::QueueFull);
     let response = Outcome::NotRun(reason, 1_200).into_response("1-a-1");
     assert_eq!(response.status(), 429);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn unknown_is_never_called_not_run() {
+fn unknown_is_never_reported_as_not_run() {
     for reason in [UnknownReason::Broken, UnknownReason::TimedOut, UnknownReason::Crossed] {
         let response = Outcome::Unknown(reason).into_response("1-a-1");
         assert_eq!(header::text(response.headers(), header::OUTCOME), Some("unknown"));
--- a/src/host_list.rs
+++ b/src/host_list.rs
@@ -1,5 +1,7 @@
-//! The platform's list of live and leaving hosts. It lags, so it only ever
-//! takes endpoints out; whether one answers is seen by calling it.
+//! Client for the platform's list of live and leaving hosts.
+//!
+//! The list lags behind, so it only excludes endpoints; whether an endpoint answers is found out
+//! by calling it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,49 +11,50 @@
 
 use crate::delivery::HttpClient;
 
-/// How often the list is read.
-pub const POLL: Duration = Duration::from_millis(500);
-const MAX_LIST: usize = 8 << 20;
+/// Interval at which the list is polled, and time limit for each request.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum size of the list, in bytes.
+const MAX_LIST_BYTES: usize = 8 << 20;
 
-/// One host of the platform's list.
+/// An entry of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostEntry {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Its state.
+    /// State of the endpoint.
     pub state: HostState,
 }
 
-/// The state of a host.
+/// State of an entry of the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostState {
-    /// It takes work.
+    /// It accepts new requests.
     Live,
-    /// It takes no new work.
+    /// It accepts no new requests.
     Leaving,
 }
 
 /// The platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// Hosts that it mentions; others are live.
+    /// Listed hosts; hosts that are not listed count as live.
     pub hosts: Vec<HostEntry>,
 }
 
 impl HostList {
-    /// Names of leaving hosts.
+    /// Returns the names of leaving hosts.
     pub fn leaving(&self) -> impl Iterator<Item = &str> {
         let leaving = self.hosts.iter().filter(|h| h.state == HostState::Leaving);
         leaving.map(|h| h.name.as_str())
     }
 }
 
-/// Reads the list once; none when the platform does not answer well in time.
+/// Fetches the list once; returns `None` if the platform gives no valid answer in time.
 pub async fn fetch(client: &HttpClient, platform: SocketAddr) -> Option<HostList> {
     let uri = format!("http://{platform}/hosts").parse().ok()?;
     let request = client.get(uri);
-    let response = tokio::time::timeout(POLL, request).await.ok()?.ok()?;
-    let body = Limited::new(response.into_body(), MAX_LIST).collect().await.ok()?;
+    let response = tokio::time::timeout(POLL_INTERVAL, request).await.ok()?.ok()?;
+    let body = Limited::new(response.into_body(), MAX_LIST_BYTES).collect().await.ok()?;
     serde_json::from_slice(&body.to_bytes()).ok()
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,5 @@
-//! Serving HTTP to operators and endpoints.
+//! HTTP servers for the metrics and readiness pages of the gateway and the interface of control
+//! hosts.
 
 use std::net::SocketAddr;
 
@@ -10,7 +11,7 @@
 use crate::error::{NetSnafu, Result};
 use crate::router::set_nodelay;
 
-/// Listens on `listen` and serves `app` beside everything else until `stop`.
+/// Binds `listen` and serves `app` in a background task until `stop` is cancelled.
 pub async fn serve(listen: SocketAddr, app: axum::Router, stop: &CancellationToken) -> Result<()> {
     let listener = TcpListener::bind(listen).await;
     let listener = listener.with_context(|_| NetSnafu { what: format!("listen on {listen}") })?;
--- a/src/router/once.rs
+++ b/src/router/once.rs
@@ -51,7 +51,7 @@
 
 /// Claims the call if it has a key. Without a majority it does not run.
 pub(super) async fn claim(job: &Job) -> Result<Option<Claim>, Outcome> {
-    if !job.call.once {
+    if !job.call.run_once {
         return Ok(None);
     }
     let Some(claim) = claim_of(job) else {
@@ -80,7 +80,7 @@
         Claimed::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
         Claimed::Answered(None) => Some(Outcome::AnsweredBefore),
         Claimed::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
-        Claimed::OtherCall => Some(Outcome::Bad(
+        Claimed::OtherCall => Some(Outcome::BadRequest(
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("the {} was used for another call", header::KEY),
         )),
@@ -110,7 +110,7 @@
 /// finds it.
 pub(super) async fn settle(router: &Router, claim: Claim, attempt: &Attempt) {
     let settlement = match attempt {
-        Attempt::Answered(Answer::Whole(response)) => {
+        Attempt::Answered(Answer::Complete(response)) => {
             let body = response.body();
             let small = body.len() <= MAX_KEPT_ANSWER;
             Settlement::Answered(small.then(|| RecordedAnswer {
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -20,7 +20,7 @@
 use crate::clock::BootInstant;
 use crate::config::{CustomerId, EndpointId, Service, ServiceId, ServiceKind};
 use crate::delivery::{
-    Answer, Attempt, Attempted, Call, NotRunReason, Outcome, UnknownReason, sse,
+    Answer, Attempt, AttemptReport, Call, NotRunReason, Outcome, UnknownReason, sse,
 };
 use crate::quarantine::Fingerprint;
 use crate::registry::EndpointStart;
@@ -111,7 +111,7 @@
                 let path = &self.call.path;
                 self.decide("admission", format!("of {name} for {service} {path} admitted"));
                 self.router.with_budget(self.customer, |b| b.earn());
-                match self.call.once {
+                match self.call.run_once {
                     false => self.run(place).await,
                     true => self.run_to_the_end(place).await,
                 }
@@ -251,8 +251,8 @@
         self.decide("delivery", format!("calls endpoint {}", declared.name));
         let started = Instant::now();
         let limit = self.deadline.remaining();
-        let Attempted { attempt, notice } =
-            self.router.caller.attempt(address, &self.call, limit).await;
+        let AttemptReport { attempt, notice } =
+            self.router.endpoint_client.attempt(address, &self.call, limit).await;
         self.take_notice(endpoint, &declared.name, &notice);
         if let Some(claim) = claim {
             once::settle(&self.router, claim, &attempt).await;
@@ -266,7 +266,7 @@
             return Next::Again { free: false, otherwise: Outcome::NotRun(reason, rest as u32) };
         }
         match attempt {
-            Attempt::Answered(Answer::Whole(response)) => {
+            Attempt::Answered(Answer::Complete(response)) => {
                 self.router.guard.record_served(&self.fingerprint);
                 let units = self.units_of(&response, started);
                 self.count(units);
@@ -314,7 +314,7 @@
             self.router.metrics.crossed.inc();
         }
         let outcome = Outcome::Unknown(reason);
-        match self.call.once || reason == UnknownReason::TimedOut {
+        match self.call.run_once || reason == UnknownReason::TimedOut {
             true => Next::Finish(outcome),
             false => Next::Again { free: false, otherwise: outcome },
         }
@@ -359,6 +359,6 @@
 /// The endpoint's answer as the caller gets it.
 fn passed_on(response: Response<Bytes>) -> Response<Body> {
     let (mut head, body) = response.into_parts();
-    head.headers = crate::delivery::pass_on(&head.headers);
+    head.headers = crate::delivery::strip_hop_headers(&head.headers);
     Response::from_parts(head, Body::from(body))
 }
--- a/src/router/serve/request.rs
+++ b/src/router/serve/request.rs
@@ -57,7 +57,7 @@
             Some(Ok(ms)) if ms > 0 => ms.min(service.deadline_ms),
             Some(_) => return Err(bad(format!("{} is not a number above 0", header::DEADLINE))),
         };
-        let once = service.runs_once(request.method.as_str(), &request.path);
+        let run_once = service.runs_once(request.method.as_str(), &request.path);
         let path = [request.service.as_str(), request.path.as_str()];
         let fingerprint = Fingerprint::of(&request.customer, &path, &request.body);
         let call = Call {
@@ -66,8 +66,8 @@
             path: request.path,
             headers: request.headers,
             body: request.body,
-            once,
-            resume: None,
+            run_once,
+            resume_after: None,
         };
         Ok(Job {
             router: self.clone(),
@@ -88,21 +88,21 @@
 }
 
 fn bad(message: String) -> Outcome {
-    Outcome::Bad(StatusCode::BAD_REQUEST, message)
+    Outcome::BadRequest(StatusCode::BAD_REQUEST, message)
 }
 
 fn find(config: &Config, request: &Request) -> Result<(CustomerId, ServiceId), Outcome> {
     let Some(customer) = config.customer_id(&request.customer) else {
         let message = format!("unknown customer '{}'", request.customer);
-        return Err(Outcome::Bad(StatusCode::FORBIDDEN, message));
+        return Err(Outcome::BadRequest(StatusCode::FORBIDDEN, message));
     };
     let Some(service) = config.service_id(&request.service) else {
         let message = format!("unknown service '{}'", request.service);
-        return Err(Outcome::Bad(StatusCode::NOT_FOUND, message));
+        return Err(Outcome::BadRequest(StatusCode::NOT_FOUND, message));
     };
     if !config.customers[&customer].may_use(&request.service) {
         let message = format!("'{}' may not use '{}'", request.customer, request.service);
-        return Err(Outcome::Bad(StatusCode::FORBIDDEN, message));
+        return Err(Outcome::BadRequest(StatusCode::FORBIDDEN, message));
     }
     Ok((customer, service))
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -16,7 +16,7 @@
 use crate::admission::Admission;
 use crate::claim::Claims;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::delivery::{Caller, HttpClient, RetryBudget};
+use crate::delivery::{EndpointClient, HttpClient, RetryBudget};
 use crate::feed::{Followed, Subscriptions};
 use crate::host_list;
 use crate::peer::Peers;
@@ -48,7 +48,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// Calls endpoints.
-    pub caller: Caller,
+    pub endpoint_client: EndpointClient,
     /// Which requests crash endpoints.
     pub guard: Arc<CrashGuard>,
     /// What control hosts tell.
@@ -107,7 +107,7 @@
             dispatchers,
             trace,
             metrics: Metrics::default(),
-            caller: Caller::default(),
+            endpoint_client: EndpointClient::default(),
             heard: Heard::default(),
             runs: TaskTracker::new(),
             leaving,
@@ -213,7 +213,7 @@
                 changed
             });
         }
-        tokio::time::sleep(host_list::POLL).await;
+        tokio::time::sleep(host_list::POLL_INTERVAL).await;
     }
 }
 
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -20,7 +20,7 @@
 use super::state::Router;
 use crate::config::{EndpointId, ServiceId};
 use crate::delivery::sse::{Chunk, DONE, Event, Splitter};
-use crate::delivery::{Answer, Attempt, Attempted, Call, UnknownReason, header};
+use crate::delivery::{Answer, Attempt, AttemptReport, Call, UnknownReason, header};
 use crate::quarantine::Fingerprint;
 use crate::telemetry::RequestId;
 use crate::wire::Completion;
@@ -77,7 +77,7 @@
     response: Response<Incoming>,
 ) -> Result<Response<Body>, UnknownReason> {
     let (mut head, body) = response.into_parts();
-    head.headers = crate::delivery::pass_on(&head.headers);
+    head.headers = crate::delivery::strip_hop_headers(&head.headers);
     // A stream may have been resumed: nobody in between may keep it.
     head.headers.insert("cache-control", HeaderValue::from_static("no-store"));
     let mut relay = Relay {
@@ -214,9 +214,9 @@
             return false;
         }
         self.resumes += 1;
-        self.call.resume = Some(self.output);
-        let Attempted { attempt, notice } =
-            self.router.caller.attempt(self.engine.address, &self.call, STALL).await;
+        self.call.resume_after = Some(self.output);
+        let AttemptReport { attempt, notice } =
+            self.router.endpoint_client.attempt(self.engine.address, &self.call, STALL).await;
         self.router.take_notice(self.service, self.engine.id, &self.engine.name, &notice);
         let Attempt::Answered(Answer::Stream(response)) = attempt else {
             return false;
