--- a/src/router/once.rs
+++ b/src/router/once.rs
@@ -52,7 +52,7 @@
 
 /// Claims the call if it has a key. Without a majority it does not run.
 pub(super) async fn claim(job: &Job) -> Result<Option<Claim>, Outcome> {
-    if !job.call.once {
+    if !job.call.run_once {
         return Ok(None);
     }
     let Some(claim) = claim_of(job) else {
@@ -81,7 +81,7 @@
         ClaimOutcome::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
         ClaimOutcome::Answered(None) => Some(Outcome::AnsweredBefore),
         ClaimOutcome::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
-        ClaimOutcome::OtherCall => Some(Outcome::Bad(
+        ClaimOutcome::OtherCall => Some(Outcome::BadRequest(
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("the {} was used for another call", header::KEY),
         )),
@@ -111,7 +111,7 @@
 /// finds it.
 pub(super) async fn settle(router: &Router, claim: Claim, attempt: &Attempt) {
     let settlement = match attempt {
-        Attempt::Answered(Answer::Whole(response)) => {
+        Attempt::Answered(Answer::Complete(response)) => {
             let body = response.body();
             let small = body.len() <= MAX_RECORDED_ANSWER_BYTES;
             Settlement::Answered(small.then(|| RecordedAnswer {
