--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -93,10 +93,15 @@
     let (router, _) = start_peers(Role::Router, first + 1, vec![peer_address(first)]).await;
     let routing = Arc::new(CurrentRouting::default());
     let registry = Arc::new(SharedRegistry::default());
-    let fleet_state = FleetState { documents: routing.clone(), registry: registry.clone(), ..FleetState::default() };
+    let fleet_state = FleetState {
+        documents: routing.clone(),
+        registry: registry.clone(),
+        ..FleetState::default()
+    };
     let subscriptions = Subscriptions::start(router.clone(), fleet_state, "a", Role::Router);
     let local = LocalPlacer::new(router.me, router.clock, routing, registry, Default::default());
-    let client = PlacementClient::start(router, subscriptions, local, "a".into(), LoopLag::default());
+    let client =
+        PlacementClient::start(router, subscriptions, local, "a".into(), LoopLag::default());
     wait_until(|| host.sessions_accepted.load(Ordering::SeqCst) > 0).await;
     (host, client)
 }
