--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,16 +1,16 @@
-//! Calls that may not be repeated: who claimed which, and how it ended.
+//! Claims on the idempotency keys of calls that must not run twice, and how those calls ended.
 //!
-//! Before the first byte of such a call leaves for an endpoint, its router
-//! claims the customer's idempotency key. The table is part of the state that
-//! control hosts agree on, so a claim outlives routers and single control hosts.
+//! A router claims the customer's idempotency key before it sends the first byte of
+//! such a call to an endpoint. The table is part of the replicated state of the control
+//! hosts, so a claim survives the loss of its router and of single control hosts.
 
 mod client;
 mod table;
 #[cfg(test)]
 mod tests;
 
-pub use client::Claims;
+pub use client::ClaimClient;
 pub use table::{
-    ANSWER_KEPT_MS, Attempt, CLAIM_KEPT_MS, Claim, Claimed, MAX_KEPT_ANSWER, RecordedAnswer,
-    Settlement, Table, fingerprint,
+    ANSWER_RETENTION_MS, Attempt, CLAIM_RETENTION_MS, Claim, ClaimOutcome, ClaimTable,
+    MAX_RECORDED_ANSWER_BYTES, RecordedAnswer, Settlement, fingerprint,
 };
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{Claim, Claimed, Settlement, Table};
+use crate::claim::{Claim, ClaimOutcome, ClaimTable, Settlement};
 use crate::config::{Change, History, Refusal};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::registry::DrainedHalls;
@@ -74,7 +74,7 @@
     /// A change was decided.
     Changed(Changed),
     /// A claim was decided.
-    Claimed(Claimed),
+    Claimed(ClaimOutcome),
     /// A settlement was taken.
     Settled,
     /// This version of the routing document is in force now; either the one
@@ -96,7 +96,7 @@
     pub(super) history: History,
     pub(super) operations: HashMap<String, Changed>,
     pub(super) operations_by_age: VecDeque<String>,
-    pub(super) claims: Table,
+    pub(super) claims: ClaimTable,
     pub(super) document: Option<Arc<Document>>,
     pub(super) drained: DrainedHalls,
     pub(super) rollouts: Rollouts,
@@ -110,7 +110,7 @@
     }
 
     /// The claims.
-    pub fn claims(&self) -> &Table {
+    pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -79,7 +79,7 @@
 
 /// All hosts heard of.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct MemberTable {
     me: Heartbeat,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostId, Member>,
@@ -89,10 +89,10 @@
     scope: HeartbeatScope,
 }
 
-impl Table {
+impl MemberTable {
     /// A table that knows only this host and where to look for others.
-    pub fn new(me: Heartbeat, seeds: Vec<SocketAddr>, scope: HeartbeatScope) -> Table {
-        Table {
+    pub fn new(me: Heartbeat, seeds: Vec<SocketAddr>, scope: HeartbeatScope) -> MemberTable {
+        MemberTable {
             me,
             seeds,
             members: BTreeMap::new(),
@@ -122,39 +122,39 @@
     /// Returns what to answer at once, and where: this host introduces itself to
     /// whoever has just started or does not know it, and asks for the whole where a
     /// brief one says nothing.
-    pub fn heard(
+    pub fn on_heartbeat(
         &mut self,
         now: Millis,
         from: SocketAddr,
         beat: Beat,
     ) -> Option<(SocketAddr, Beat)> {
         match beat {
-            Beat::Whole(beat) => {
-                let newcomer = self.heard_whole(now, beat)?;
-                Some((newcomer, self.introduction()))
+            Beat::Full(beat) => {
+                let newcomer = self.on_full_heartbeat(now, beat)?;
+                Some((newcomer, self.full_heartbeat()))
             }
             Beat::Brief { host, incarnation, version, draining } => {
                 let known = self.members.get_mut(&host);
                 let Some(member) = known.filter(|m| m.beat.incarnation == incarnation) else {
                     self.unknown_heartbeats += 1;
-                    return Some((from, Beat::Ask(self.me.clone())));
+                    return Some((from, Beat::RequestFull(self.me.clone())));
                 };
                 member.beat.version = version;
                 member.beat.draining = draining;
                 member.heard = now;
                 None
             }
-            Beat::Ask(beat) => {
+            Beat::RequestFull(beat) => {
                 let asker = beat.peer;
-                self.heard_whole(now, beat);
-                Some((asker, self.introduction()))
+                self.on_full_heartbeat(now, beat);
+                Some((asker, self.full_heartbeat()))
             }
         }
     }
 
     /// Returns the address of a host that has just started, if this one exchanges
     /// heartbeats with it.
-    fn heard_whole(&mut self, now: Millis, beat: Heartbeat) -> Option<SocketAddr> {
+    fn on_full_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> Option<SocketAddr> {
         if beat.host == self.me.host {
             return None;
         }
@@ -189,8 +189,8 @@
     }
 
     /// What introduces this host to a newcomer.
-    pub fn introduction(&self) -> Beat {
-        Beat::Whole(self.me.clone())
+    pub fn full_heartbeat(&self) -> Beat {
+        Beat::Full(self.me.clone())
     }
 
     /// Whether no other host has been heard yet.
@@ -218,7 +218,7 @@
     }
 
     /// What to send now, and to whom.
-    pub fn beat(&mut self) -> (Beat, Vec<SocketAddr>) {
+    pub fn next_heartbeat(&mut self) -> (Beat, Vec<SocketAddr>) {
         let hears = |m: &&Member| self.exchanges_with(m.beat.role);
         let others = self.members.values().filter(hears);
         let mut targets: Vec<_> = others.map(|m| m.beat.peer).collect();
@@ -232,7 +232,7 @@
         let greets = std::mem::take(&mut self.greet);
         let whole = greets || self.turn <= WHOLE_FIRST || self.turn % WHOLE_EVERY == 1;
         let beat = match whole {
-            true => Beat::Whole(Heartbeat { also, ..self.me.clone() }),
+            true => Beat::Full(Heartbeat { also, ..self.me.clone() }),
             false => Beat::Brief {
                 host: self.me.host,
                 incarnation: self.me.incarnation,
--- a/src/placement/client.rs
+++ b/src/placement/client.rs
@@ -123,7 +123,7 @@
             request.objective_ms = objective_ms.saturating_sub(spent);
         }
         request.seq = self.next_seq.fetch_add(1, Ordering::Relaxed);
-        let answer = self.local.place(request.clone(), self.feeds.routers());
+        let answer = self.local.place(request.clone(), self.feeds.router_count());
         self.outcome(answer, &request, PlacerId::Local)
     }
 
@@ -324,7 +324,7 @@
 
 async fn follow_view(client: Arc<PlacementClient>) {
     let mut view = client.peers.watch();
-    let mut silent = client.feeds.watch_silent();
+    let mut silent = client.feeds.watch_silent_hosts();
     loop {
         let now = view.borrow_and_update().clone();
         client.adopt_view(&now);
--- a/src/placement/cold_limiter.rs
+++ b/src/placement/cold_limiter.rs
@@ -8,7 +8,7 @@
 
 use std::collections::VecDeque;
 
-use crate::agree::ELECTION_MS;
+use crate::agree::MIN_ELECTION_TIMEOUT_MS;
 use crate::dispatch::Millis;
 
 /// Milliseconds over which requests are counted; limits are per second.
@@ -16,7 +16,7 @@
 /// Milliseconds for which a placer whose host has become the leader sends cold engines nothing: one
 /// window, in which the previous leader's placer may have used their whole capacity, and the time
 /// that the previous leader may take to notice that it no longer leads.
-const TAKE_OVER_MS: Millis = WINDOW_MS as Millis + ELECTION_MS;
+const TAKE_OVER_MS: Millis = WINDOW_MS as Millis + MIN_ELECTION_TIMEOUT_MS;
 
 /// Decides whether this placer may send requests to cold engines.
 ///
--- a/src/router/once.rs
+++ b/src/router/once.rs
@@ -8,7 +8,8 @@
 use super::serve::Job;
 use super::state::Router;
 use crate::claim::{
-    Attempt as Claimant, Claim, Claimed, MAX_KEPT_ANSWER, RecordedAnswer, Settlement, fingerprint,
+    Attempt as Claimant, Claim, ClaimOutcome, MAX_RECORDED_ANSWER_BYTES, RecordedAnswer,
+    Settlement, fingerprint,
 };
 use crate::delivery::{Answer, Attempt, NotRunReason, Outcome, UnknownReason, header};
 
@@ -45,13 +46,13 @@
     if job.router.is_stale() {
         return Some(Outcome::NotRun(NotRunReason::NoMajority, RETRY_MS));
     }
-    let claimed = job.router.claims.look(claim, LOOK_LIMIT).await?;
+    let claimed = job.router.claims.lookup(claim, LOOK_LIMIT).await?;
     held(&job.router, claimed)
 }
 
 /// Claims the call if it has a key. Without a majority it does not run.
 pub(super) async fn claim(job: &Job) -> Result<Option<Claim>, Outcome> {
-    if !job.call.once {
+    if !job.call.run_once {
         return Ok(None);
     }
     let Some(claim) = claim_of(job) else {
@@ -69,18 +70,18 @@
 }
 
 /// What a caller is told of a key that is held; none when it was granted.
-fn held(router: &Router, claimed: Claimed) -> Option<Outcome> {
+fn held(router: &Router, claimed: ClaimOutcome) -> Option<Outcome> {
     match claimed {
-        Claimed::Granted => None,
-        Claimed::Running(holder) => Some(match is_live(router, holder) {
+        ClaimOutcome::Granted => None,
+        ClaimOutcome::Running(holder) => Some(match is_live(router, holder) {
             true => Outcome::Running(RETRY_MS),
             // The holder is gone without a word: the call may have run.
             false => Outcome::Unknown(UnknownReason::Earlier),
         }),
-        Claimed::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
-        Claimed::Answered(None) => Some(Outcome::AnsweredBefore),
-        Claimed::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
-        Claimed::OtherCall => Some(Outcome::Bad(
+        ClaimOutcome::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
+        ClaimOutcome::Answered(None) => Some(Outcome::AnsweredBefore),
+        ClaimOutcome::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
+        ClaimOutcome::OtherCall => Some(Outcome::BadRequest(
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("the {} was used for another call", header::KEY),
         )),
@@ -110,9 +111,9 @@
 /// finds it.
 pub(super) async fn settle(router: &Router, claim: Claim, attempt: &Attempt) {
     let settlement = match attempt {
-        Attempt::Answered(Answer::Whole(response)) => {
+        Attempt::Answered(Answer::Complete(response)) => {
             let body = response.body();
-            let small = body.len() <= MAX_KEPT_ANSWER;
+            let small = body.len() <= MAX_RECORDED_ANSWER_BYTES;
             Settlement::Answered(small.then(|| RecordedAnswer {
                 status: response.status().as_u16(),
                 content_type: header::text(response.headers(), "content-type").map(String::from),
@@ -123,5 +124,5 @@
         Attempt::NotSent | Attempt::Refused => Settlement::NotRun,
         Attempt::Unknown(_) => Settlement::Unknown,
     };
-    router.claims.settled(claim, settlement, SETTLE_LIMIT).await;
+    router.claims.settle_and_wait(claim, settlement, SETTLE_LIMIT).await;
 }
