--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,7 +1,7 @@
 //! Operators' remote procedure calls, from `proto/operator.proto`.
 //!
-//! The only module that knows the shapes operators use. The generated code is
-//! committed; `tests/proto.rs` regenerates it and fails when it is stale.
+//! The only module that uses the operators' message types. The generated code is
+//! committed; `tests/proto.rs` regenerates it and fails if the committed copy differs.
 
 mod apply;
 mod client;
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -1,22 +1,22 @@
-//! What operators ask to be changed, and what they are told.
+//! Converts operators' change requests to configuration changes, and outcomes to replies.
 
 use super::proto;
 use crate::config::{Change, Document};
 use crate::control::Changed;
 
-/// Longest operation name.
-const MAX_OPERATION: usize = 64;
+/// Longest operation name, in bytes.
+const MAX_OPERATION_BYTES: usize = 64;
 
-/// The answer where it is not known whether a change was taken.
+/// The reply when it is unknown whether a change was accepted.
 pub(super) fn uncertain() -> proto::ApplyReply {
     let result = proto::apply_reply::Result::Uncertain.into();
     proto::ApplyReply { result, ..Default::default() }
 }
 
-/// What an operator is told of a change.
-pub(super) fn reply(changed: Changed) -> proto::ApplyReply {
+/// The reply that reports the outcome of a change.
+pub(super) fn reply(outcome: Changed) -> proto::ApplyReply {
     use proto::apply_reply::Result;
-    match changed {
+    match outcome {
         Changed::Accepted(version) => {
             let result = Result::Accepted.into();
             proto::ApplyReply { result, version, ..Default::default() }
@@ -35,7 +35,7 @@
     }
 }
 
-fn wrong(field: &str, problem: String, remedy: &str) -> proto::ApplyReply {
+fn refused(field: &str, problem: String, remedy: &str) -> proto::ApplyReply {
     proto::ApplyReply {
         result: proto::apply_reply::Result::Refused.into(),
         version: 0,
@@ -45,16 +45,16 @@
     }
 }
 
-/// The steps that a request asks for, or why it is wrong.
+/// The configuration changes that a request contains, or the reply that refuses it.
 pub(super) fn changes(request: &proto::ApplyRequest) -> Result<Vec<Change>, proto::ApplyReply> {
-    if request.operation.is_empty() || request.operation.len() > MAX_OPERATION {
+    if request.operation.is_empty() || request.operation.len() > MAX_OPERATION_BYTES {
         let problem = "is empty or too long".to_string();
-        return Err(wrong("operation", problem, "name the change in 1 to 64 bytes"));
+        return Err(refused("operation", problem, "name the change in 1 to 64 bytes"));
     }
     let mut changes = Vec::new();
     if !request.document.trim().is_empty() {
         let document: Document = serde_saphyr::from_str(&request.document)
-            .map_err(|e| wrong("document", e.to_string(), "correct the document"))?;
+            .map_err(|e| refused("document", e.to_string(), "correct the document"))?;
         changes.extend(document.changes());
     }
     changes.extend(
@@ -65,7 +65,7 @@
     );
     if changes.is_empty() {
         let problem = "asks for no change".to_string();
-        return Err(wrong("document", problem, "declare or remove something"));
+        return Err(refused("document", problem, "declare or remove something"));
     }
     Ok(changes)
 }
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side of their calls.
+//! The client side of operators' calls, also used by hosts that forward a call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const MAX_MESSAGE: usize = 64 << 20;
-/// Times that a change with an uncertain answer is sent again.
-const RESENDS: u32 = 40;
-const RESEND_PAUSE: Duration = Duration::from_millis(250);
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// Most times that a change is sent while its outcome is uncertain.
+const MAX_SENDS: u32 = 40;
+/// Pause between two sends of a change.
+const SEND_PAUSE: Duration = Duration::from_millis(250);
 
 /// Connects to a host's operator port.
 pub async fn connect(to: SocketAddr) -> Result<OperatorClient<Channel>> {
-    let wrong = |e: tonic::transport::Error| Error::Rpc { message: format!("{to}: {e}") };
-    let endpoint = Endpoint::from_shared(format!("http://{to}")).map_err(wrong)?;
+    let rpc_error = |e: tonic::transport::Error| Error::Rpc { message: format!("{to}: {e}") };
+    let endpoint = Endpoint::from_shared(format!("http://{to}")).map_err(rpc_error)?;
     let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(CALL_TIMEOUT);
-    let channel = endpoint.connect().await.map_err(wrong)?;
-    Ok(OperatorClient::new(channel).max_decoding_message_size(MAX_MESSAGE))
+    let channel = endpoint.connect().await.map_err(rpc_error)?;
+    Ok(OperatorClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES))
 }
 
 /// Sends a change to one host, once.
@@ -35,7 +36,7 @@
     client.apply(request).await.ok().map(tonic::Response::into_inner)
 }
 
-/// Sends a change to whichever of the hosts answers for certain.
+/// Sends a change to each of `hosts` in turn until one replies with a certain outcome.
 pub(super) async fn apply_at_any(
     hosts: &[SocketAddr],
     request: proto::ApplyRequest,
@@ -51,33 +52,33 @@
     Ok(proto::ApplyReply { result, ..Default::default() })
 }
 
-/// Applies a change at any of `hosts`, sending the same operation again while
-/// its answer is uncertain.
+/// Applies a change through any of `hosts`, sending the same operation again while
+/// its outcome is uncertain.
 pub async fn apply_document(
     hosts: &[SocketAddr],
     request: proto::ApplyRequest,
 ) -> Result<proto::ApplyReply> {
-    for _ in 0..RESENDS {
+    for _ in 0..MAX_SENDS {
         let reply = apply_at_any(hosts, request.clone()).await;
         let reply = reply.map_err(|s| Error::Rpc { message: s.to_string() })?;
         if reply.result() != proto::apply_reply::Result::Uncertain {
             return Ok(reply);
         }
-        tokio::time::sleep(RESEND_PAUSE).await;
+        tokio::time::sleep(SEND_PAUSE).await;
     }
     let operation = request.operation;
     let message = format!("no control host decided; send operation '{operation}' again");
     Err(Error::Rpc { message })
 }
 
-/// The status of every live host that the asked one knows, itself included.
-pub async fn fleet_status(ask: SocketAddr) -> Result<Vec<proto::StatusReply>> {
-    let first = status(ask).await?;
+/// The status of every live host that the host at `contact` lists, itself included.
+pub async fn fleet_status(contact: SocketAddr) -> Result<Vec<proto::StatusReply>> {
+    let first = status(contact).await?;
     let live = first.hosts.iter().filter(|h| h.live);
     let others: Vec<_> = live.filter_map(|h| h.operator.parse().ok()).collect();
     let mut all = Vec::new();
     for other in others {
-        // A host that does not answer is left out; the list still names it.
+        // A host that does not answer is omitted; the list in `first` still includes it.
         if let Ok(status) = status(other).await {
             all.push(status);
         }
@@ -86,17 +87,17 @@
     Ok(all)
 }
 
-async fn status(of: SocketAddr) -> Result<proto::StatusReply> {
-    let mut client = connect(of).await?;
+async fn status(address: SocketAddr) -> Result<proto::StatusReply> {
+    let mut client = connect(address).await?;
     let reply = client.status(proto::StatusRequest {}).await;
-    let reply = reply.map_err(|s| Error::Rpc { message: format!("{of}: {}", s.message()) })?;
+    let reply = reply.map_err(|s| Error::Rpc { message: format!("{address}: {}", s.message()) })?;
     Ok(reply.into_inner())
 }
 
-/// What all live hosts decided about a request, in order of time.
-pub async fn explain(ask: SocketAddr, request: &str) -> Result<Vec<proto::Step>> {
+/// The decisions that all reachable hosts recorded about a request, ordered by time.
+pub async fn explain(contact: SocketAddr, request: &str) -> Result<Vec<proto::Step>> {
     let mut steps = Vec::new();
-    for host in status(ask).await?.hosts {
+    for host in status(contact).await?.hosts {
         if let Ok(address) = host.operator.parse() {
             steps.extend(explain_at(address, request).await?);
         }
@@ -109,8 +110,8 @@
     let Ok(mut client) = connect(host).await else {
         return Ok(Vec::new());
     };
-    let asked = proto::ExplainRequest { request: request.to_string() };
-    let reply = client.explain(asked).await;
+    let explain_request = proto::ExplainRequest { request: request.to_string() };
+    let reply = client.explain(explain_request).await;
     let reply = reply.map_err(|s| Error::Rpc { message: s.message().to_string() })?;
     Ok(reply.into_inner().steps)
 }
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -1,4 +1,4 @@
-//! A control host's side of operators' calls.
+//! A control host's implementation of operators' calls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,15 +17,15 @@
 use crate::quarantine::{Fingerprint, InvalidFingerprint};
 use crate::wire::{HostId, Role};
 
-/// How long a proposal may take before it is called uncertain.
+/// How long a proposal may take before its outcome is reported as uncertain.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Marks a read that another control host has passed on: two hosts that each take the
-/// other for the leader must not pass it back and forth.
+/// Metadata key of a call that another control host has forwarded. It is not forwarded
+/// again, so that two hosts that take each other for the leader do not loop.
 const FORWARDED: &str = "forwarded";
 
 struct Service(Arc<Control>);
 
-/// Answers operators until the process stops.
+/// Serves operators' calls until the process stops.
 pub(crate) async fn serve(control: Arc<Control>) {
     let listen = control.settings.operator;
     let server = tonic::transport::Server::builder();
@@ -35,31 +35,31 @@
     }
 }
 
-/// Where the newest accepted configuration is known for sure.
+/// The host whose accepted configuration is confirmed to be the newest.
 enum Newest {
-    /// Here: this host leads, and a majority has confirmed it.
-    Here,
-    /// At the operator port of the leader.
-    At(SocketAddr),
+    /// This host: it is the leader, and a majority has confirmed it.
+    Local,
+    /// The leader, at this operator port.
+    Leader(SocketAddr),
 }
 
-/// The call, marked so that it is passed on once only.
-fn forward<T>(request: Request<T>) -> Request<T> {
+/// Marks a call as forwarded, so that it is forwarded only once.
+fn mark_forwarded<T>(request: Request<T>) -> Request<T> {
     let mut forwarded = Request::new(request.into_inner());
     forwarded.metadata_mut().insert(FORWARDED, MetadataValue::from_static("1"));
     forwarded
 }
 
-fn unsure(error: crate::error::Error) -> Status {
+fn leader_unreachable(error: crate::error::Error) -> Status {
     Status::unavailable(format!("the leader does not answer: {error}"))
 }
 
-fn undecided() -> Status {
+fn no_decision() -> Status {
     Status::unavailable("no control host decided; send the order again")
 }
 
-/// Why an order or a question about a roll-out gets no answer, in an operator's words.
-fn rollout_refused(unanswered: &Unanswered, service: &str) -> Status {
+/// The gRPC status of a failed call about a roll-out.
+fn rollout_error(unanswered: &Unanswered, service: &str) -> Status {
     match unanswered {
         Unanswered::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
         Unanswered::UnknownService => {
@@ -69,34 +69,35 @@
         Unanswered::UnderWay => Status::failed_precondition(format!(
             "another roll-out of service '{service}' is under way"
         )),
-        _ => undecided(),
+        _ => no_decision(),
     }
 }
 
 impl Service {
-    /// Other hosts lag, and one that has just started knows only its last snapshot: a
-    /// read is answered by the leader, or by an error that says to ask again.
-    async fn confirm_newest<T>(&self, request: &Request<T>) -> Result<Newest, Status> {
+    /// Finds the host that may answer a read. Other hosts than the leader lag behind, and one
+    /// that has just started holds only its last snapshot; without a confirmed leader the
+    /// read fails, and the operator has to retry.
+    async fn find_newest<T>(&self, request: &Request<T>) -> Result<Newest, Status> {
         let no_majority = || Status::unavailable("no majority of control hosts is in reach");
         let read = tokio::time::timeout(PROPOSE_TIMEOUT, self.0.handle.read()).await;
         match read {
-            Ok(Ok(())) => Ok(Newest::Here),
+            Ok(Ok(())) => Ok(Newest::Local),
             Ok(Err(NoLeader::Elsewhere(host))) if !request.metadata().contains_key(FORWARDED) => {
                 let view = self.0.peers.view();
                 let leader = view.get(host).filter(|m| m.host != self.0.peers.me);
-                leader.map(|m| Newest::At(m.operator)).ok_or_else(no_majority)
+                leader.map(|m| Newest::Leader(m.operator)).ok_or_else(no_majority)
             }
             Ok(Err(_)) | Err(_) => Err(no_majority()),
         }
     }
 
-    /// A connection to the operator port of the host that leads.
+    /// Connects to the operator port of `host`, the leader.
     async fn leader(&self, host: HostId) -> Result<OperatorClient<Channel>, Status> {
-        let leader = self.0.peers.view().get(host).ok_or_else(undecided)?.operator;
-        client::connect(leader).await.map_err(unsure)
+        let leader = self.0.peers.view().get(host).ok_or_else(no_decision)?.operator;
+        client::connect(leader).await.map_err(leader_unreachable)
     }
 
-    async fn apply_here(
+    async fn apply_locally(
         &self,
         request: &proto::ApplyRequest,
     ) -> Result<proto::ApplyReply, NoLeader> {
@@ -145,7 +146,7 @@
         request: Request<proto::ApplyRequest>,
     ) -> Result<Response<proto::ApplyReply>, Status> {
         let request = request.into_inner();
-        match self.apply_here(&request).await {
+        match self.apply_locally(&request).await {
             Ok(reply) => Ok(Response::new(reply)),
             Err(NoLeader::Elsewhere(host)) => {
                 let view = self.0.peers.view();
@@ -161,11 +162,11 @@
         &self,
         request: Request<proto::GetRequest>,
     ) -> Result<Response<proto::GetReply>, Status> {
-        match self.confirm_newest(&request).await? {
-            Newest::Here => view::get_reply(&self.0.configs.current()).map(Response::new),
-            Newest::At(leader) => {
-                let mut client = client::connect(leader).await.map_err(unsure)?;
-                client.get(forward(request)).await
+        match self.find_newest(&request).await? {
+            Newest::Local => view::get_reply(&self.0.configs.current()).map(Response::new),
+            Newest::Leader(leader) => {
+                let mut client = client::connect(leader).await.map_err(leader_unreachable)?;
+                client.get(mark_forwarded(request)).await
             }
         }
     }
@@ -174,14 +175,14 @@
         &self,
         request: Request<proto::HistoryRequest>,
     ) -> Result<Response<proto::HistoryReply>, Status> {
-        match self.confirm_newest(&request).await? {
-            Newest::Here => {
-                let most = view::most(request.get_ref());
-                Ok(Response::new(view::history_reply(self.0.configs.recent(most))))
+        match self.find_newest(&request).await? {
+            Newest::Local => {
+                let limit = view::history_limit(request.get_ref());
+                Ok(Response::new(view::history_reply(self.0.configs.recent(limit))))
             }
-            Newest::At(leader) => {
-                let mut client = client::connect(leader).await.map_err(unsure)?;
-                client.history(forward(request)).await
+            Newest::Leader(leader) => {
+                let mut client = client::connect(leader).await.map_err(leader_unreachable)?;
+                client.history(mark_forwarded(request)).await
             }
         }
     }
@@ -235,14 +236,14 @@
         };
         let identity = crate::control::found::identify(&self.0, member.peer).await;
         let identity = identity.map_err(|e| Status::unavailable(e.to_string()))?;
-        let newcomer = GroupMember {
+        let new_member = GroupMember {
             store: identity.store,
             host,
             peer: identity.peer,
             voter: false,
             replaces,
         };
-        let (accepted, message) = match self.0.handle.let_in(newcomer).await {
+        let (accepted, message) = match self.0.handle.let_in(new_member).await {
             Ok(true) => (true, format!("store {} counts once it has caught up", identity.store)),
             Ok(false) => (false, "another change of the group is under way".to_string()),
             Err(NoLeader::Elsewhere(host)) => (false, format!("ask host {host}, which leads")),
@@ -264,12 +265,12 @@
             }
             Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
-                client.order_hall(forward(request)).await
+                client.order_hall(mark_forwarded(request)).await
             }
             Err(Unanswered::UnknownHall) => {
                 Err(Status::not_found(format!("no data hall is called '{hall}'")))
             }
-            Err(_) => Err(undecided()),
+            Err(_) => Err(no_decision()),
         }
     }
 
@@ -283,9 +284,9 @@
             Ok(()) => Ok(Response::new(proto::OrderRolloutReply {})),
             Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
-                client.order_rollout(forward(request)).await
+                client.order_rollout(mark_forwarded(request)).await
             }
-            Err(unanswered) => Err(rollout_refused(&unanswered, &service)),
+            Err(unanswered) => Err(rollout_error(&unanswered, &service)),
         }
     }
 
@@ -301,9 +302,9 @@
             }
             Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
-                client.get_rollout(forward(request)).await
+                client.get_rollout(mark_forwarded(request)).await
             }
-            Err(unanswered) => Err(rollout_refused(&unanswered, &service)),
+            Err(unanswered) => Err(rollout_error(&unanswered, &service)),
         }
     }
 
@@ -318,9 +319,9 @@
             Ok(()) => Ok(Response::new(proto::ReleaseReply {})),
             Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
-                client.release(forward(request)).await
+                client.release(mark_forwarded(request)).await
             }
-            Err(_) => Err(undecided()),
+            Err(_) => Err(no_decision()),
         }
     }
 
--- a/src/operator/router.rs
+++ b/src/operator/router.rs
@@ -1,4 +1,5 @@
-//! A router's side of operators' calls: mostly reading.
+//! A router's implementation of operators' calls. Changes of the configuration are forwarded
+//! to a control host; orders to control hosts are refused.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 
 struct Service(Arc<Router>);
 
-/// Answers operators until the process stops.
+/// Serves operators' calls until the process stops.
 pub(crate) async fn serve(router: Arc<Router>, listen: SocketAddr) {
     let server = tonic::transport::Server::builder();
     let service = OperatorServer::new(Service(router));
@@ -38,7 +39,7 @@
         _: Request<proto::GetRequest>,
     ) -> Result<Response<proto::GetReply>, Status> {
         let config = self.0.config();
-        // A router says what is in force here; before the first, that is nothing.
+        // A router returns the configuration in force on itself, and has none when it starts.
         if config.version == 0 {
             return Err(Status::unavailable("no configuration is in force here yet"));
         }
@@ -49,8 +50,8 @@
         &self,
         request: Request<proto::HistoryRequest>,
     ) -> Result<Response<proto::HistoryReply>, Status> {
-        let most = view::most(request.get_ref());
-        Ok(Response::new(view::history_reply(self.0.configs.recent(most))))
+        let limit = view::history_limit(request.get_ref());
+        Ok(Response::new(view::history_reply(self.0.configs.recent(limit))))
     }
 
     async fn status(
--- a/src/operator/view.rs
+++ b/src/operator/view.rs
@@ -1,4 +1,4 @@
-//! Answers that routers and control hosts give alike.
+//! Replies that routers and control hosts build in the same way.
 
 use tonic::Status;
 
@@ -10,8 +10,8 @@
 use crate::rollout::{Rollout, Stage};
 use crate::wire::{Heartbeat, Role};
 
-/// Most history entries in one answer.
-const MAX_HISTORY: u32 = 1_000;
+/// Most history entries in one reply.
+const MAX_HISTORY_ENTRIES: u32 = 1_000;
 
 pub(super) fn role_name(role: Role) -> &'static str {
     match role {
@@ -40,14 +40,14 @@
     registry.read(|registry| registry.drained().names().map(str::to_string).collect())
 }
 
-/// A roll-out as operators see it.
+/// The status of a roll-out for operators.
 pub(super) fn rollout(rollout: &Rollout) -> proto::RolloutStatus {
-    use proto::rollout_status::Stage as Shown;
+    use proto::rollout_status::Stage as ProtoStage;
     let stage = match rollout.stage {
-        Stage::Canary => Shown::Canary,
-        Stage::Shifting => Shown::Shifting,
-        Stage::Done => Shown::Done,
-        Stage::RolledBack => Shown::RolledBack,
+        Stage::Canary => ProtoStage::Canary,
+        Stage::Shifting => ProtoStage::Shifting,
+        Stage::Done => ProtoStage::Done,
+        Stage::RolledBack => ProtoStage::RolledBack,
     };
     proto::RolloutStatus {
         service: rollout.order.service.clone(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// A request that crashed endpoints, as operators see it.
+/// The status of a request that crashed endpoints, for operators.
 pub(super) fn quarantined(
     (fingerprint, quarantine): (&Fingerprint, &Quarantine),
 ) -> proto::QuarantineStatus {
@@ -77,10 +77,10 @@
     Ok(proto::GetReply { version: config.version, document })
 }
 
-pub(super) fn most(request: &proto::HistoryRequest) -> usize {
+pub(super) fn history_limit(request: &proto::HistoryRequest) -> usize {
     match request.most {
         0 => 20,
-        most => most.min(MAX_HISTORY) as usize,
+        limit => limit.min(MAX_HISTORY_ENTRIES) as usize,
     }
 }
 
@@ -92,7 +92,7 @@
     proto::HistoryReply { entries: deltas.into_iter().map(entry).collect() }
 }
 
-/// A change in a few words.
+/// A short description of a change.
 fn describe(change: &Change) -> String {
     match change {
         Change::AddHall(name) => format!("data hall {name} declared"),
@@ -106,7 +106,8 @@
     }
 }
 
-/// Cuts links when the host's settings allow it.
+/// Cuts the given links to simulate faults, if the host's settings allow it. Returns whether
+/// they do.
 pub(super) fn rehearse(peers: &Peers, allowed: bool, request: proto::RehearseRequest) -> bool {
     if !allowed {
         return false;
