--- a/src/store.rs
+++ b/src/store.rs
@@ -1,8 +1,8 @@
 //! Durable state of a control host: one folder, one log file, one snapshot file.
 //!
-//! Records are checksummed and synced before anything that rests on them is
-//! said. A torn tail, which a crash leaves, is cut; damage before the end stops
-//! the process with a clear error.
+//! Records are checksummed, and synced before any message that depends on them is
+//! sent. An incomplete last record, which a crash leaves, is cut off; damage before
+//! the end is an error that stops the process.
 
 pub(crate) mod checksummed;
 mod disk;
--- a/src/store/checksummed.rs
+++ b/src/store/checksummed.rs
@@ -1,4 +1,4 @@
-//! Whole files with a checksum, so that a torn or damaged one is noticed.
+//! Files that are written at once, with a checksum that detects incomplete or damaged ones.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -11,16 +11,16 @@
     content: Vec<u8>,
 }
 
-/// The bytes of a file that holds `content`.
+/// Encodes `content` as the bytes of a file.
 pub fn encode<T: Serialize + ?Sized>(content: &T) -> Result<Vec<u8>> {
     let content = postcard::to_stdvec(content).map_err(|source| Error::Frame { source })?;
     let checksummed = Checksummed { checksum: crc32fast::hash(&content), content };
     postcard::to_stdvec(&checksummed).map_err(|source| Error::Frame { source })
 }
 
-/// What a file holds; none where it is damaged.
+/// Decodes the bytes of a file; `None` if they are damaged.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let checksummed: Checksummed = postcard::from_bytes(bytes).ok()?;
-    let is_whole = crc32fast::hash(&checksummed.content) == checksummed.checksum;
-    is_whole.then(|| postcard::from_bytes(&checksummed.content).ok())?
+    let is_intact = crc32fast::hash(&checksummed.content) == checksummed.checksum;
+    is_intact.then(|| postcard::from_bytes(&checksummed.content).ok())?
 }
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -18,7 +18,7 @@
 const LOG: &str = "log";
 const SNAPSHOT: &str = "snapshot";
 
-/// What a data folder held when it was opened.
+/// The state that was read from a data folder when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
     /// Term and vote.
@@ -27,7 +27,7 @@
     pub snapshot: Snapshot,
     /// Entries after it.
     pub entries: Vec<Entry>,
-    /// Bytes of a torn tail that were cut.
+    /// Bytes of an incomplete last record that were cut off.
     pub cut_bytes: u64,
 }
 
@@ -38,7 +38,7 @@
     identity: StoreId,
     _lock: File,
     log: File,
-    sync: u64,
+    sequence: u64,
     hard: HardState,
     log_bytes: u64,
     snapshot_bytes: u64,
@@ -46,20 +46,20 @@
 }
 
 impl Disk {
-    /// Opens a folder, creating it and its identity when it is empty.
+    /// Opens a folder; creates it, and its identity if it has no log.
     pub fn open(folder: &Path) -> Result<(Disk, RecoveredState)> {
         std::fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
-        let lock = lock(folder)?;
-        let identity = identity(folder)?;
+        let lock = lock_folder(folder)?;
+        let identity = read_or_create_identity(folder)?;
         let snapshot_path = folder.join(SNAPSHOT);
         let (snapshot, snapshot_bytes) = read_snapshot(&snapshot_path)?;
         let path = folder.join(LOG);
         let mut log = open_log(&path)?;
         let mut bytes = Vec::new();
         log.read_to_end(&mut bytes).context(FileSnafu { path: &path })?;
-        let mut found = RecoveredState { snapshot, ..RecoveredState::default() };
-        let replayed = replay(&path, &bytes, &mut found)?;
-        if found.cut_bytes > 0 {
+        let mut recovered = RecoveredState { snapshot, ..RecoveredState::default() };
+        let replayed = replay(&path, &bytes, &mut recovered)?;
+        if recovered.cut_bytes > 0 {
             log.set_len(replayed.length).context(FileSnafu { path: &path })?;
             log.sync_all().context(FileSnafu { path: &path })?;
         }
@@ -69,13 +69,13 @@
             identity,
             _lock: lock,
             log,
-            sync: replayed.sync + 1,
-            hard: found.hard,
+            sequence: replayed.sequence + 1,
+            hard: recovered.hard,
             log_bytes: replayed.length,
             snapshot_bytes,
             failed: false,
         };
-        Ok((disk, found))
+        Ok((disk, recovered))
     }
 
     /// The identity of this folder.
@@ -93,8 +93,8 @@
         self.snapshot_bytes
     }
 
-    /// Writes and syncs. After a failure nothing more is written: what is on
-    /// disk is then unknown until the folder is opened again.
+    /// Writes and syncs `records`. After a failure the end of the log on disk is
+    /// unknown, so writes fail until [`Disk::recover`] has succeeded.
     pub fn write(&mut self, records: &[Persist]) -> Result<()> {
         if self.failed {
             let source = std::io::Error::other("an earlier write failed");
@@ -105,9 +105,8 @@
         result
     }
 
-    /// Makes a folder usable again whose last write failed: what may stand in
-    /// the log behind the last sync is cut off, so that the same records can be
-    /// written anew.
+    /// Allows writes again after a failed one: cuts off whatever the log holds after
+    /// the last synced record, so that the same records can be written again.
     pub fn recover(&mut self) -> Result<()> {
         let path = self.folder.join(LOG);
         self.log = open_log(&path)?;
@@ -137,7 +136,7 @@
     }
 
     fn encode(&self, items: &[Item]) -> Result<Vec<u8>> {
-        record::encode(items, self.sync).map_err(|source| Error::Frame { source })
+        record::encode(items, self.sequence).map_err(|source| Error::Frame { source })
     }
 
     fn append(&mut self, items: &[Item]) -> Result<()> {
@@ -148,13 +147,14 @@
         let path = self.folder.join(LOG);
         self.log.write_all(&buffer).context(FileSnafu { path: &path })?;
         self.log.sync_data().context(FileSnafu { path: &path })?;
-        self.sync += 1;
+        self.sequence += 1;
         self.log_bytes += buffer.len() as u64;
         Ok(())
     }
 
-    /// Puts a snapshot in place, then a log without the entries it covers. A
-    /// crash between the two leaves covered entries, which opening skips.
+    /// Replaces the snapshot, then replaces the log by one without the entries that
+    /// the snapshot covers. A crash between the two leaves covered entries in the
+    /// log, which `open` skips.
     fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<()> {
         let bytes = checksummed::encode(snapshot)?;
         self.replace(SNAPSHOT, &bytes)?;
@@ -163,7 +163,7 @@
         let buffer = self.encode(&[Item::HardState(self.hard), Item::Entries(kept)])?;
         self.replace(LOG, &buffer)?;
         self.log_bytes = buffer.len() as u64;
-        self.sync += 1;
+        self.sequence += 1;
         self.log = open_log(&self.folder.join(LOG))?;
         Ok(())
     }
@@ -171,14 +171,14 @@
     fn entries_after(&self, snapshot: &Snapshot) -> Result<Vec<Entry>> {
         let path = self.folder.join(LOG);
         let bytes = std::fs::read(&path).context(FileSnafu { path: &path })?;
-        let mut found = RecoveredState::default();
-        replay(&path, &bytes, &mut found)?;
-        let held = found.entries.iter().find(|e| e.index == snapshot.index);
-        if held.is_none_or(|e| e.term != snapshot.term) {
+        let mut recovered = RecoveredState::default();
+        replay(&path, &bytes, &mut recovered)?;
+        let covered = recovered.entries.iter().find(|e| e.index == snapshot.index);
+        if covered.is_none_or(|e| e.term != snapshot.term) {
             return Ok(Vec::new());
         }
-        found.entries.retain(|e| e.index > snapshot.index);
-        Ok(found.entries)
+        recovered.entries.retain(|e| e.index > snapshot.index);
+        Ok(recovered.entries)
     }
 
     fn replace(&self, name: &str, bytes: &[u8]) -> Result<()> {
@@ -192,7 +192,7 @@
     }
 }
 
-fn lock(folder: &Path) -> Result<File> {
+fn lock_folder(folder: &Path) -> Result<File> {
     let path = folder.join(LOCK);
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
     let file = file.context(FileSnafu { path: &path })?;
@@ -202,8 +202,8 @@
     }
 }
 
-/// The folder's identity; a new random one when there is none.
-fn identity(folder: &Path) -> Result<StoreId> {
+/// Reads the folder's identity; creates a random one if the folder has no log.
+fn read_or_create_identity(folder: &Path) -> Result<StoreId> {
     let path = folder.join(IDENTITY);
     match std::fs::read_to_string(&path) {
         Ok(text) => match u64::from_str_radix(text.trim(), 16) {
@@ -247,39 +247,39 @@
 
 struct Replayed {
     length: u64,
-    sync: u64,
+    sequence: u64,
 }
 
-fn replay(path: &Path, bytes: &[u8], found: &mut RecoveredState) -> Result<Replayed> {
+fn replay(path: &Path, bytes: &[u8], recovered: &mut RecoveredState) -> Result<Replayed> {
     let mut at = 0;
-    let mut sync = 0;
+    let mut sequence = 0;
     while at < bytes.len() {
         let Some(parsed) = record::decode(&bytes[at..]) else {
-            // The first record behind a snapshot was synced with it.
-            let promised = at == 0 && found.snapshot.index > 0;
-            if promised || record::has_later(&bytes[at..], sync) {
+            // With a snapshot in place, the first record of the log had been synced.
+            let was_synced = at == 0 && recovered.snapshot.index > 0;
+            if was_synced || record::has_later(&bytes[at..], sequence) {
                 return DamagedSnafu { path, offset: at as u64 }.fail();
             }
-            found.cut_bytes = (bytes.len() - at) as u64;
+            recovered.cut_bytes = (bytes.len() - at) as u64;
             break;
         };
-        sync = parsed.sync;
+        sequence = parsed.sequence;
         at += parsed.size;
         for item in parsed.items {
             match item {
-                Item::HardState(hard) => found.hard = hard,
-                Item::Entries(entries) => adopt(found, entries),
+                Item::HardState(hard) => recovered.hard = hard,
+                Item::Entries(entries) => apply_entries(recovered, entries),
             }
         }
     }
-    Ok(Replayed { length: at as u64, sync })
+    Ok(Replayed { length: at as u64, sequence })
 }
 
-fn adopt(found: &mut RecoveredState, entries: Vec<Entry>) {
+fn apply_entries(recovered: &mut RecoveredState, entries: Vec<Entry>) {
     let Some(first) = entries.first().map(|e| e.index) else {
         return;
     };
-    found.entries.retain(|e| e.index < first);
-    let covered = found.snapshot.index;
-    found.entries.extend(entries.into_iter().filter(|e| e.index > covered));
+    recovered.entries.retain(|e| e.index < first);
+    let covered_index = recovered.snapshot.index;
+    recovered.entries.extend(entries.into_iter().filter(|e| e.index > covered_index));
 }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -21,24 +21,24 @@
     Persist::Snapshot(Snapshot { index, term, members: vec![], data: vec![9; 100] })
 }
 
-fn indexes(found: &RecoveredState) -> Vec<u64> {
-    found.entries.iter().map(|e| e.index).collect()
+fn indexes(recovered: &RecoveredState) -> Vec<u64> {
+    recovered.entries.iter().map(|e| e.index).collect()
 }
 
 #[test]
-fn what_was_written_is_found_again_under_the_same_identity() {
+fn written_records_are_read_back_with_the_same_identity() {
     let folder = TempDir::new().unwrap();
-    let (mut disk, found) = Disk::open(folder.path()).unwrap();
-    assert_eq!(found, RecoveredState::default());
+    let (mut disk, recovered) = Disk::open(folder.path()).unwrap();
+    assert_eq!(recovered, RecoveredState::default());
     disk.write(&[hard(3), entries(1, 5, 3)]).unwrap();
     disk.write(&[entries(4, 6, 4)]).unwrap();
     let identity = disk.identity();
     drop(disk);
-    let (disk, found) = Disk::open(folder.path()).unwrap();
+    let (disk, recovered) = Disk::open(folder.path()).unwrap();
     assert_eq!(disk.identity(), identity);
-    assert_eq!(indexes(&found), [1, 2, 3, 4, 5, 6]);
-    assert_eq!(found.entries[3].term, 4);
-    assert_eq!(found.hard.term, 3);
+    assert_eq!(indexes(&recovered), [1, 2, 3, 4, 5, 6]);
+    assert_eq!(recovered.entries[3].term, 4);
+    assert_eq!(recovered.hard.term, 3);
 }
 
 #[test]
@@ -49,35 +49,35 @@
 }
 
 #[test]
-fn a_folder_is_held_by_one_process() {
+fn a_folder_is_locked_by_one_process() {
     let folder = TempDir::new().unwrap();
-    let _held = Disk::open(folder.path()).unwrap();
+    let _disk = Disk::open(folder.path()).unwrap();
     assert!(matches!(Disk::open(folder.path()), Err(Error::Locked { .. })));
 }
 
 #[test]
-fn a_snapshot_takes_the_place_of_its_entries() {
+fn a_snapshot_replaces_the_entries_it_covers() {
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = Disk::open(folder.path()).unwrap();
     disk.write(&[hard(2), entries(1, 10, 2)]).unwrap();
     disk.write(&[snapshot(7, 2)]).unwrap();
     disk.write(&[entries(11, 12, 2)]).unwrap();
     drop(disk);
-    let (_, found) = Disk::open(folder.path()).unwrap();
-    assert_eq!(found.snapshot.index, 7);
-    assert_eq!(indexes(&found), [8, 9, 10, 11, 12]);
-    assert_eq!(found.hard.term, 2);
+    let (_, recovered) = Disk::open(folder.path()).unwrap();
+    assert_eq!(recovered.snapshot.index, 7);
+    assert_eq!(indexes(&recovered), [8, 9, 10, 11, 12]);
+    assert_eq!(recovered.hard.term, 2);
 }
 
 #[test]
-fn an_installed_snapshot_drops_entries_that_do_not_lead_to_it() {
+fn an_installed_snapshot_drops_conflicting_entries() {
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = Disk::open(folder.path()).unwrap();
     disk.write(&[hard(2), entries(1, 10, 2)]).unwrap();
     disk.write(&[snapshot(7, 5)]).unwrap();
     drop(disk);
-    let (_, found) = Disk::open(folder.path()).unwrap();
-    assert_eq!(indexes(&found), Vec::<u64>::new());
+    let (_, recovered) = Disk::open(folder.path()).unwrap();
+    assert_eq!(indexes(&recovered), Vec::<u64>::new());
 }
 
 fn log_length(folder: &TempDir) -> u64 {
@@ -115,26 +115,26 @@
 proptest! {
     #![proptest_config(crate::testing::property(48))]
 
-    /// Wherever a crash tears the last write, all earlier syncs are found whole.
+    /// A crash that truncates the last write at any byte loses no record synced before it.
     #[test]
-    fn a_torn_tail_costs_nothing_that_was_synced(torn in 1u64..200, syncs in 1u64..5) {
+    fn a_torn_tail_loses_nothing_that_was_synced(torn_bytes in 1u64..200, syncs in 1u64..5) {
         let folder = TempDir::new().unwrap();
         let (mut disk, _) = Disk::open(folder.path()).unwrap();
         for sync in 0..syncs {
             disk.write(&[hard(sync + 1), entries(sync * 3 + 1, sync * 3 + 3, sync + 1)]).unwrap();
         }
-        let safe = log_length(&folder);
+        let synced_length = log_length(&folder);
         disk.write(&[hard(99), entries(syncs * 3 + 1, syncs * 3 + 2, 99), hard(100)]).unwrap();
         drop(disk);
-        let whole = log_length(&folder);
-        let cut = whole - torn.min(whole - safe);
+        let full_length = log_length(&folder);
+        let cut = full_length - torn_bytes.min(full_length - synced_length);
         OpenOptions::new().write(true).open(folder.path().join("log")).unwrap().set_len(cut).unwrap();
-        let (_, found) = Disk::open(folder.path()).unwrap();
-        prop_assert!(found.entries.len() as u64 >= syncs * 3);
-        prop_assert!(found.hard.term >= syncs);
+        let (_, recovered) = Disk::open(folder.path()).unwrap();
+        prop_assert!(recovered.entries.len() as u64 >= syncs * 3);
+        prop_assert!(recovered.hard.term >= syncs);
     }
 
-    /// One damaged byte is cut or refused, never read as something else.
+    /// A record with a damaged byte is cut off or refused, never decoded to other entries.
     #[test]
     fn a_damaged_byte_is_never_read(at in 0u64..400, byte in any::<u8>()) {
         let folder = TempDir::new().unwrap();
@@ -144,8 +144,8 @@
         }
         drop(disk);
         overwrite(&folder, at % log_length(&folder), byte);
-        if let Ok((_, found)) = Disk::open(folder.path()) {
-            for entry in &found.entries {
+        if let Ok((_, recovered)) = Disk::open(folder.path()) {
+            for entry in &recovered.entries {
                 prop_assert_eq!(&entry.payload, &Payload::Data(vec![entry.index as u8; 20]));
             }
         }
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,5 +1,5 @@
-//! Writes records on a thread of its own, so that a slow, full or hanging disk
-//! delays what waits for it and nothing else.
+//! Writes records on a dedicated thread, so that a slow, full or hanging disk delays
+//! only the work that waits for it.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,10 +11,10 @@
 use super::Disk;
 use crate::agree::Persist;
 
-/// How long to wait before a failed write is tried again.
+/// Pause before a failed write is tried again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Failed tries after which the failure is logged again.
-const LOG_EVERY: u32 = 50;
+/// Failed attempts per logged error.
+const FAILURES_PER_LOG_LINE: u32 = 50;
 
 /// Sizes of the files, in bytes.
 #[derive(Debug, Default)]
@@ -37,25 +37,25 @@
 }
 
 impl DiskWriter {
-    /// Starts the thread. The numbers of finished jobs come out of the receiver,
-    /// in order; one number stands for all before it.
+    /// Starts the thread. The receiver yields the numbers of finished jobs in order;
+    /// a number covers all earlier jobs too.
     pub fn start(disk: Disk) -> std::io::Result<(DiskWriter, events::UnboundedReceiver<u64>)> {
         let (jobs, queue) = mpsc::channel();
         let (done, finished) = events::unbounded_channel();
         let sizes = Arc::new(Sizes::default());
         let writer = DiskWriter { jobs, sizes: sizes.clone(), last: 0 };
-        store_sizes(&sizes, &disk);
+        update_sizes(&sizes, &disk);
         std::thread::Builder::new()
             .name("disk".to_string())
             .stack_size(256 * 1024)
-            .spawn(move || work(disk, &queue, &done, &sizes))?;
+            .spawn(move || run(disk, &queue, &done, &sizes))?;
         Ok((writer, finished))
     }
 
     /// Queues records to be written and synced; returns the number of the job.
     pub fn write(&mut self, records: Vec<Persist>) -> u64 {
         self.last += 1;
-        // The thread ends only with this sender.
+        // The thread runs until this sender is dropped or nobody receives finished jobs.
         let _ = self.jobs.send(Job { number: self.last, records });
         self.last
     }
@@ -71,12 +71,12 @@
     }
 }
 
-fn store_sizes(sizes: &Sizes, disk: &Disk) {
+fn update_sizes(sizes: &Sizes, disk: &Disk) {
     sizes.log.store(disk.log_bytes(), Ordering::Relaxed);
     sizes.snapshot.store(disk.snapshot_bytes(), Ordering::Relaxed);
 }
 
-fn work(
+fn run(
     mut disk: Disk,
     queue: &mpsc::Receiver<Job>,
     done: &events::UnboundedSender<u64>,
@@ -90,7 +90,7 @@
             records.extend(more.records);
         }
         write_until_done(&mut disk, &records);
-        store_sizes(sizes, &disk);
+        update_sizes(sizes, &disk);
         if done.send(number).is_err() {
             return;
         }
@@ -107,12 +107,12 @@
         match written {
             Ok(()) if failures == 0 => return,
             Ok(()) => {
-                log::info!("store: the disk takes writes again after {failures} failures");
+                log::info!("store: disk writes succeed again after {failures} failures");
                 return;
             }
             Err(error) => {
-                if failures % LOG_EVERY == 0 {
-                    log::error!("store: the disk refuses writes: {error}");
+                if failures % FAILURES_PER_LOG_LINE == 0 {
+                    log::error!("store: cannot write to disk: {error}");
                 }
                 failures += 1;
                 std::thread::sleep(RETRY_PAUSE);
