--- a/src/config/apply.rs
+++ b/src/config/apply.rs
@@ -7,11 +7,11 @@
 /// Why a change was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Refusal {
-    /// The field at fault, as a path in the configuration.
+    /// The invalid field, as a path in the configuration.
     pub field: String,
     /// What is wrong with it.
     pub problem: String,
-    /// What to do about it.
+    /// How to correct it.
     pub remedy: String,
 }
 
@@ -25,11 +25,11 @@
     Refusal { field, problem: problem.to_string(), remedy: remedy.to_string() }
 }
 
-const MAX_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
 fn check_name(field: &str, name: &str) -> Result<(), Refusal> {
-    let legal = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if name.is_empty() || name.len() > MAX_NAME || !name.chars().all(legal) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.chars().all(is_allowed) {
         return Err(refuse(
             format!("{field}.{name}.name"),
             "is not a usable name",
@@ -40,7 +40,8 @@
 }
 
 impl Config {
-    /// Applies `changes` as one new version, or none of them.
+    /// Returns the configuration with `changes` applied as one new version; if one of them is
+    /// refused, none is applied.
     pub fn apply(&self, changes: &[Change]) -> Result<Config, Refusal> {
         let mut next = self.clone();
         for change in changes {
@@ -50,7 +51,7 @@
         Ok(next)
     }
 
-    /// Applies one change as a new version; a refused one leaves no trace.
+    /// Applies one change as a new version; a refused one changes nothing.
     pub(super) fn apply_in_place(&mut self, change: &Change) -> Result<(), Refusal> {
         self.apply_one(change)?;
         self.version += 1;
--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -4,9 +4,9 @@
 
 use super::model::*;
 
-/// A whole configuration or a part of one, as an operator writes it.
+/// A configuration or a part of one, as an operator writes it.
 ///
-/// Applying a document declares or replaces what it names and leaves the rest.
+/// Applying a document declares or replaces what it names and leaves the rest unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
@@ -31,7 +31,7 @@
 }
 
 impl Document {
-    /// The changes that bring about what the document declares, in order.
+    /// The changes that apply the document, in order.
     pub fn changes(&self) -> Vec<Change> {
         let mut changes = Vec::new();
         changes.extend(self.halls.iter().cloned().map(Change::AddHall));
--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -1,4 +1,4 @@
-//! A configuration with the steps that led to it, as processes pass it on.
+//! A configuration with its recent changes, from which hosts that lag behind are updated.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use super::{Change, Config, Delta, Refusal};
 use crate::wire::PullResponse;
 
-/// Versions for which deltas are kept.
-const KEPT_DELTAS: usize = 4_096;
+/// Most deltas that are kept.
+const MAX_DELTAS: usize = 4_096;
 
-/// The newest configuration known here and recent deltas.
+/// The newest configuration that this process holds, and the recent deltas to it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct History {
     config: Arc<Config>,
@@ -37,33 +37,33 @@
     /// Applies accepted changes as the next version.
     pub fn advance(&mut self, changes: Vec<Change>) -> Result<(), Refusal> {
         match changes.as_slice() {
-            // One change is atomic by itself: no copy unless others hold this version.
+            // A single change is atomic, so it needs no copy unless this version is shared.
             [change] => Arc::make_mut(&mut self.config).apply_in_place(change)?,
             _ => self.config = Arc::new(self.config.apply(&changes)?),
         }
         let delta = Delta { version: self.config.version, changes };
         self.deltas.push_back(delta);
-        if self.deltas.len() > KEPT_DELTAS {
+        if self.deltas.len() > MAX_DELTAS {
             self.deltas.pop_front();
         }
         Ok(())
     }
 
-    /// What a process needs that has version `have`.
-    pub fn since(&self, have: u64) -> PullResponse {
-        if have >= self.config.version {
+    /// The update for a process that holds `held_version`: deltas, or a snapshot where the
+    /// deltas do not reach back far enough.
+    pub fn since(&self, held_version: u64) -> PullResponse {
+        if held_version >= self.config.version {
             return PullResponse::Current;
         }
         let first = self.deltas.front().map_or(u64::MAX, |d| d.version);
-        if have + 1 < first {
+        if held_version + 1 < first {
             return PullResponse::Snapshot(Box::new(Config::clone(&self.config)));
         }
-        let newer = self.deltas.iter().filter(|d| d.version > have);
+        let newer = self.deltas.iter().filter(|d| d.version > held_version);
         PullResponse::Deltas(newer.cloned().collect())
     }
 
-    /// Adopts what was pulled; only ever a higher version. Says whether there
-    /// was one.
+    /// Applies a pulled update if it leads to a higher version. Returns whether it did.
     pub fn adopt(&mut self, pulled: PullResponse) -> bool {
         let before = self.config.version;
         match pulled {
@@ -83,8 +83,8 @@
                 continue;
             }
             if self.advance(delta.changes).is_err() {
-                // Accepted elsewhere, so it applies here too unless this is
-                // another release; the whole will be pulled instead.
+                // Another host accepted this change, so it is refused here only if that
+                // host runs another release; then a snapshot is pulled instead.
                 return;
             }
         }
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HallId(pub u8);
 
-/// The most data halls one configuration may declare.
+/// Most data halls that one configuration may declare.
 pub const MAX_HALLS: usize = 32;
 
 /// A set of data halls.
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
-    /// A model engine speaking chat completions; cost is counted in tokens.
+    /// A model engine that serves chat completions; cost is counted in tokens.
     #[default]
     Model,
     /// An application service; cost is counted in milliseconds of a slot.
@@ -78,7 +78,7 @@
     /// Units charged for each generated token.
     #[serde(default = "default_output_weight")]
     pub output_weight: u32,
-    /// Grants allowed beyond an endpoint's slots, to keep them full through a round trip.
+    /// Grants allowed beyond an endpoint's slots, to keep the slots full during a round trip.
     #[serde(default = "default_ahead")]
     pub ahead: u32,
     /// Milliseconds a request may take when the caller names no deadline.
@@ -133,13 +133,13 @@
     pub name: String,
     /// The service it serves.
     pub service: String,
-    /// The data hall it stands in.
+    /// The data hall that it is in.
     pub hall: String,
     /// Where it listens, as `ip:port`.
     pub address: String,
     /// Requests it runs at once.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it gets no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -166,7 +166,7 @@
     64 << 20
 }
 
-/// One step of a configuration change.
+/// One change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Declares a data hall.
@@ -181,7 +181,7 @@
     RemoveCustomer(String),
     /// Removes an endpoint by name.
     RemoveEndpoint(String),
-    /// Marks an endpoint as leaving or back.
+    /// Marks an endpoint as leaving or as available again.
     SetLeaving {
         /// The endpoint's name.
         endpoint: String,
@@ -190,19 +190,19 @@
     },
 }
 
-/// The steps that take one version to the next.
+/// The changes from one version to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version that results.
+    /// The resulting version.
     pub version: u64,
-    /// The steps, in order.
+    /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
 /// The agreed configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// Counts accepted changes.
+    /// Number of the version, one higher for each accepted set of changes.
     pub version: u64,
     /// Data halls by number.
     pub halls: BTreeMap<HallId, String>,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_wrong_change_leaves_nothing_behind() {
+fn a_refused_change_changes_nothing() {
     let config = Config::default();
     let mut changes = document().changes();
     changes.push(Change::RemoveCustomer("nobody".into()));
@@ -71,9 +71,9 @@
 #[test]
 fn deltas_lead_from_any_version_to_the_newest() {
     let newest = history(10);
-    for have in 0..10 {
-        let mut behind = if have == 0 { History::default() } else { history(have) };
-        assert!(behind.adopt(newest.since(u64::from(have))));
+    for held_version in 0..10 {
+        let mut behind = if held_version == 0 { History::default() } else { history(held_version) };
+        assert!(behind.adopt(newest.since(u64::from(held_version))));
         assert_eq!(behind.config(), newest.config());
     }
 }
@@ -81,14 +81,14 @@
 #[test]
 fn a_lower_or_equal_version_is_never_adopted() {
     let mut newest = history(10);
-    let whole = Config::clone(history(9).config());
-    assert!(!newest.adopt(crate::wire::PullResponse::Snapshot(Box::new(whole))));
+    let older = Config::clone(history(9).config());
+    assert!(!newest.adopt(crate::wire::PullResponse::Snapshot(Box::new(older))));
     assert!(!newest.adopt(history(10).since(3)));
     assert_eq!(newest.config().version, 10);
 }
 
 #[test]
-fn one_too_far_behind_gets_the_whole() {
+fn a_process_too_far_behind_gets_a_snapshot() {
     let newest = History::starting_from(Config::clone(history(10).config()));
     assert!(matches!(newest.since(3), crate::wire::PullResponse::Snapshot(_)));
 }
