--- a/src/settings.rs
+++ b/src/settings.rs
@@ -14,64 +14,64 @@
 use crate::rollout::RolloutRules;
 use crate::wire::HostId;
 
-/// Least part of the requests that a release may get until it is judged: with less, no
-/// service has enough answers in time.
-const LEAST_CANARY_SHARE: f64 = 0.01;
-/// Fewest milliseconds in which a bad release can be stopped everywhere: its answers are
-/// reported, the stage is agreed, and grants end.
-const LEAST_ROLLBACK_MS: u64 = 1_000;
+/// Smallest share of a service's requests that a canary release may get. With less, no
+/// service has enough answers in time to judge the release.
+const MIN_CANARY_SHARE: f64 = 0.01;
+/// Shortest time in milliseconds in which a bad release can be stopped on every router: its
+/// answers are reported, the stage is agreed, and grants end.
+const MIN_ROLLBACK_MS: u64 = 1_000;
 
-/// How a router decides who is served next.
+/// How a router decides which request is served next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DispatchMode {
-    /// One dispatcher a service for all routers in reach.
+    /// One dispatcher per service for all routers in reach.
     #[default]
     Fleet,
-    /// Each router for itself, with its part of every endpoint's slots. The
-    /// baseline that measurements compare with.
+    /// Each router dispatches on its own, with its part of every endpoint's slots. The
+    /// baseline for measurements.
     Alone,
 }
 
-/// Who this process is and where its peers are.
+/// The host of a process, and how it reaches its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
-    /// The host's name, for people.
+    /// The host's name, for display.
     pub name: String,
-    /// The host's number, unique in the fleet; by default its IPv4 address.
+    /// The host's number, unique in the fleet; by default derived from its IP address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<HostId>,
-    /// The data hall it stands in.
+    /// The data hall that it is in.
     pub hall: String,
-    /// Where it listens for peers, by UDP and TCP.
+    /// Where it listens for peers, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Where peers reach it, if that is another address: behind a relay or a translation
-    /// of addresses.
+    /// Where peers reach it, if not at `peer`: for hosts behind a relay or address
+    /// translation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// Peer addresses of other hosts to start from.
+    /// Peer addresses of the hosts that it contacts first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The peer port of every seed, where the list names other ports of theirs.
+    /// The peer port of every seed, if `seeds` gives other ports of these hosts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed_port: Option<u16>,
     /// The region of each data hall, by its name.
     #[serde(default, skip_serializing_if = "Regions::is_empty")]
     pub regions: Regions,
-    /// With whom heartbeats are exchanged.
+    /// Which hosts it exchanges heartbeats with.
     #[serde(default, skip_serializing_if = "HeartbeatScope::is_default")]
     pub heartbeats: HeartbeatScope,
 }
 
-/// With whom a host exchanges heartbeats.
+/// Which hosts a host exchanges heartbeats with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HeartbeatScope {
-    /// With every host that it hears of.
+    /// Every host that it learns of.
     #[default]
     All,
-    /// Routers only with control hosts, which hear everybody.
+    /// Routers only with control hosts, which receive heartbeats of all hosts.
     Control,
 }
 
@@ -94,23 +94,23 @@
     /// The platform's list of hosts, as `ip:port`.
     #[serde(default)]
     pub platform: Option<SocketAddr>,
-    /// How it decides who is served next.
+    /// How it decides which request is served next.
     #[serde(default)]
     pub dispatch: DispatchMode,
-    /// Routers that divide the endpoints among them when `dispatch` is `alone`.
+    /// Number of routers that divide the endpoints' slots when `dispatch` is `alone`.
     #[serde(default = "default_alone_routers")]
     pub alone_routers: u32,
     /// Largest request body in bytes.
     #[serde(default = "default_max_body")]
     pub max_body: usize,
-    /// Milliseconds a planned stop waits for requests in flight.
+    /// Milliseconds for which a planned stop waits for requests in flight.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Whether operators may rehearse cut links here.
+    /// Whether operators may cut this host's links to rehearse faults.
     #[serde(default)]
     pub rehearsal: bool,
-    /// Set to serve requests of any kind by the routes of the agreed document,
-    /// in the platform's terms.
+    /// Set to serve requests of any kind by the routes of the agreed routing document,
+    /// with the platform's header names.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gateway: Option<GatewaySettings>,
 }
@@ -119,24 +119,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Where the platform asks whether this router takes requests.
+    /// Where the platform checks whether this router accepts requests.
     pub ready: SocketAddr,
-    /// Where metrics are served, if not beside readiness alone.
+    /// A second address at which metrics are served, besides `ready`.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
     /// Bound on requests sent again, for all routers together.
     #[serde(default)]
     pub retry_budget: BudgetRules,
-    /// When this router has more to do than it bears.
+    /// Thresholds at which this router counts as overloaded.
     #[serde(default)]
     pub overload: OverloadRules,
-    /// Routers that share the retry budget, at least; more where more are heard of.
+    /// Fewest routers that the retry budget is divided by, even if fewer are known.
     #[serde(default = "default_least_routers")]
     pub least_routers: usize,
-    /// Milliseconds for which requests are still taken in a planned stop.
+    /// Milliseconds for which requests are still accepted during a planned stop.
     #[serde(default = "default_stop_takes_ms")]
     pub stop_takes_ms: u64,
-    /// Seconds after which a planned stop is ended by force.
+    /// Seconds after which a planned stop is forced.
     #[serde(default = "default_stop_within_s")]
     pub stop_within_s: f64,
 }
@@ -149,32 +149,32 @@
     pub host: HostSettings,
     /// Where operators connect.
     pub operator: SocketAddr,
-    /// The folder for durable state; one process at a time may hold it.
+    /// The folder for durable state; one process at a time may open it.
     pub data: PathBuf,
-    /// Numbers of the hosts that found the group together.
+    /// Numbers of the hosts that bootstrap the group together.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub founders: Vec<HostId>,
-    /// Whether the control hosts among the seeds found the group; true only on
-    /// the very first start of the whole fleet.
+    /// Whether the control hosts among the seeds bootstrap the group; true only on
+    /// the very first start of the fleet.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub found_with_seeds: bool,
-    /// Control hosts that may be lost at once; the group is complete with twice
-    /// as many voters and one.
+    /// Control hosts that may be lost at once. The group is complete with twice
+    /// as many voters plus one.
     #[serde(default = "default_tolerated", skip_serializing_if = "is_default_tolerated")]
     pub tolerated_losses: usize,
     /// Whether to wait for a data folder that cannot be opened yet.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub wait_for_disk: bool,
-    /// What the placer here aims at.
+    /// Objectives of the placer on this host.
     #[serde(default, skip_serializing_if = "is_default")]
     pub placement: PlacementRules,
     /// Bounds within which a release is rolled out.
     #[serde(default, skip_serializing_if = "is_default")]
     pub rollout: RolloutRules,
-    /// Where operators and endpoints of the platform connect, where there are any.
+    /// Where operators and endpoints of the platform connect, if there are any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub platform: Option<SocketAddr>,
-    /// Names of the data halls, those included in which no host is known yet.
+    /// Names of the data halls, including those of which no host is known yet.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub halls: Vec<String>,
     /// Peer addresses of the other control hosts.
@@ -183,7 +183,7 @@
     /// Log entries between two snapshots.
     #[serde(default = "default_snapshot_every")]
     pub snapshot_every: u64,
-    /// Whether operators may rehearse cut links here.
+    /// Whether operators may cut this host's links to rehearse faults.
     #[serde(default)]
     pub rehearsal: bool,
 }
@@ -300,7 +300,7 @@
 }
 
 impl HostSettings {
-    /// The host's number: the one given, or its IPv4 address.
+    /// The host's number: the one given, or one derived from its IP address.
     pub fn host_id(&self) -> HostId {
         match (self.id, self.peer) {
             (Some(id), _) => id,
@@ -311,12 +311,12 @@
         }
     }
 
-    /// Where peers reach it.
+    /// The address at which peers reach it.
     pub fn advertised(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.peer)
     }
 
-    /// The peer addresses to start from.
+    /// The peer addresses of the hosts that it contacts first.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let port = |seed: &SocketAddr| self.seed_port.unwrap_or(seed.port());
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port(seed))).collect()
@@ -335,7 +335,7 @@
 }
 
 impl RouterSettings {
-    /// Checks what parsing cannot.
+    /// Checks the constraints that parsing does not.
     pub fn check(&self) -> Result<()> {
         self.host.check()?;
         if self.alone_routers == 0 {
@@ -354,7 +354,7 @@
         2 * self.tolerated_losses + 1
     }
 
-    /// The hosts that found the group, and where their peers reach them.
+    /// The hosts that bootstrap the group, and their peer addresses.
     pub fn bootstrap_hosts(&self) -> (Vec<HostId>, Vec<SocketAddr>) {
         if !self.found_with_seeds {
             return (self.founders.clone(), self.control.clone());
@@ -365,12 +365,12 @@
         (seeds.iter().map(number).collect(), seeds)
     }
 
-    /// Checks what parsing cannot.
+    /// Checks the constraints that parsing does not.
     pub fn check(&self) -> Result<()> {
         self.host.check()?;
-        let odd = matches!(self.founders.len(), 1 | 3 | 5 | 7);
+        let is_allowed_size = matches!(self.founders.len(), 1 | 3 | 5 | 7);
         let joins = self.platform.is_some() && self.founders.is_empty();
-        if !odd && !joins {
+        if !is_allowed_size && !joins {
             let remedy = "name 1, 3, 5 or 7 hosts";
             return Err(invalid("founders", "cannot form a sound majority", remedy));
         }
@@ -378,11 +378,11 @@
             return Err(invalid("snapshot_every", "is zero", "give a number of entries"));
         }
         let share = self.rollout.canary_share;
-        if !(LEAST_CANARY_SHARE..=1.0).contains(&share) {
+        if !(MIN_CANARY_SHARE..=1.0).contains(&share) {
             let remedy = "give a part between 0.01 and 1";
             return Err(invalid("rollout.canary_share", "is no part of the requests", remedy));
         }
-        if self.rollout.rollback_ms < LEAST_ROLLBACK_MS {
+        if self.rollout.rollback_ms < MIN_ROLLBACK_MS {
             let remedy = "give 1000 or more";
             return Err(invalid("rollout.rollback_ms", "is less than can be kept", remedy));
         }
--- a/src/site.rs
+++ b/src/site.rs
@@ -1,5 +1,4 @@
-//! Sample sites: the settings, configuration and load of the two deployments
-//! in the brief, on loopback.
+//! Sample sites: settings and configuration of two deployments, on loopback addresses.
 
 mod plan;
 #[cfg(test)]
--- a/src/site/plan.rs
+++ b/src/site/plan.rs
@@ -14,8 +14,8 @@
 };
 use crate::wire::HostId;
 
-/// Ports by duty, from the site's first one.
-mod port {
+/// First port of each purpose, relative to the site's first port.
+mod port_offset {
     pub const CALLERS: u16 = 100;
     pub const CONTROL_OPERATOR: u16 = 200;
     pub const ROUTER_OPERATOR: u16 = 300;
@@ -26,12 +26,12 @@
     pub const PLATFORM: u16 = 800;
 }
 
-/// Control hosts have numbers from here on; routers from 1.
-const FIRST_CONTROL: u16 = 101;
+/// Number of the first control host; routers are numbered from 1.
+const FIRST_CONTROL_NUMBER: u16 = 101;
 const ENGINE_SLOTS: u32 = 16;
 const SERVICE_SLOTS: u32 = 16;
 
-/// The two deployments of the brief.
+/// The two sample deployments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SampleSite {
     /// Ferry tickets at Tanjung Perak.
@@ -40,7 +40,7 @@
     Bangkok,
 }
 
-/// How many processes of each kind a site has, and what they are called.
+/// The size of a site and the names used in it.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Data halls.
@@ -53,13 +53,13 @@
     pub run_once_path: String,
     /// Customers with their shares.
     pub customers: Vec<(String, u32)>,
-    /// Routers.
+    /// Number of routers.
     pub routers: u16,
-    /// Control hosts.
+    /// Number of control hosts.
     pub controls: u16,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: u16,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub services: u16,
     /// The first of 1,000 ports.
     pub base_port: u16,
@@ -87,7 +87,7 @@
 }
 
 impl SampleSite {
-    /// The site as the brief gives its size.
+    /// The site at its full size.
     pub fn plan(self, base_port: u16, data: &Path) -> Site {
         let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
         let customers = |list: &[(&str, u32)]| {
@@ -153,38 +153,38 @@
 }
 
 impl Site {
-    fn at(&self, duty: u16, number: u16) -> SocketAddr {
-        loopback(self.base_port + duty + number)
+    fn address_at(&self, offset: u16, number: u16) -> SocketAddr {
+        loopback(self.base_port + offset + number)
     }
 
-    /// Where callers reach a router, from 0.
+    /// Where callers reach a router; routers count from 0.
     pub fn router_address(&self, router: u16) -> SocketAddr {
-        self.at(port::CALLERS, router)
+        self.address_at(port_offset::CALLERS, router)
     }
 
-    /// Where operators reach a router, from 0.
+    /// Where operators reach a router; routers count from 0.
     pub fn router_operator(&self, router: u16) -> SocketAddr {
-        self.at(port::ROUTER_OPERATOR, router)
+        self.address_at(port_offset::ROUTER_OPERATOR, router)
     }
 
-    /// Where operators reach a control host, from 0.
+    /// Where operators reach a control host; control hosts count from 0.
     pub fn control_operator(&self, control: u16) -> SocketAddr {
-        self.at(port::CONTROL_OPERATOR, control)
+        self.address_at(port_offset::CONTROL_OPERATOR, control)
     }
 
-    /// Where an engine listens, from 0.
+    /// Where an engine listens; engines count from 0.
     pub fn engine(&self, engine: u16) -> SocketAddr {
-        self.at(port::ENGINE, engine)
+        self.address_at(port_offset::ENGINE, engine)
     }
 
-    /// Where a replica of the plain service listens, from 0.
+    /// Where a replica of the plain service listens; replicas count from 0.
     pub fn service(&self, service: u16) -> SocketAddr {
-        self.at(port::SERVICE, service)
+        self.address_at(port_offset::SERVICE, service)
     }
 
-    /// Where the platform's list is.
+    /// Where the platform serves its list of hosts.
     pub fn platform(&self) -> SocketAddr {
-        self.at(port::PLATFORM, 0)
+        self.address_at(port_offset::PLATFORM, 0)
     }
 
     fn hall(&self, number: u16) -> String {
@@ -192,8 +192,8 @@
     }
 
     fn host(&self, name: String, id: u16, hall: u16, peer: SocketAddr) -> HostSettings {
-        let routers = (0..self.routers).map(|n| self.at(port::ROUTER_PEER, n));
-        let controls = (0..self.controls).map(|n| self.at(port::CONTROL_PEER, n));
+        let routers = (0..self.routers).map(|n| self.address_at(port_offset::ROUTER_PEER, n));
+        let controls = (0..self.controls).map(|n| self.address_at(port_offset::CONTROL_PEER, n));
         let seeds = routers.chain(controls).filter(|seed| *seed != peer).collect();
         HostSettings {
             name,
@@ -208,11 +208,11 @@
         }
     }
 
-    /// Settings of a router, from 0.
+    /// Settings of router `n`, counted from 0.
     pub fn router(&self, n: u16) -> RouterSettings {
         let name = format!("router-{}", n + 1);
         RouterSettings {
-            host: self.host(name, n + 1, n, self.at(port::ROUTER_PEER, n)),
+            host: self.host(name, n + 1, n, self.address_at(port_offset::ROUTER_PEER, n)),
             listen: self.router_address(n),
             operator: self.router_operator(n),
             platform: Some(self.platform()),
@@ -225,12 +225,17 @@
         }
     }
 
-    /// Settings of a control host, from 0.
+    /// Settings of control host `n`, counted from 0.
     pub fn control(&self, n: u16) -> ControlSettings {
         let name = format!("control-{}", n + 1);
         ControlSettings {
             halls: Vec::new(),
-            host: self.host(name.clone(), FIRST_CONTROL + n, n, self.at(port::CONTROL_PEER, n)),
+            host: self.host(
+                name.clone(),
+                FIRST_CONTROL_NUMBER + n,
+                n,
+                self.address_at(port_offset::CONTROL_PEER, n),
+            ),
             operator: self.control_operator(n),
             data: self.data.join(name),
             found_with_seeds: false,
@@ -239,14 +244,18 @@
             placement: Default::default(),
             rollout: Default::default(),
             platform: None,
-            founders: (0..self.controls).map(|n| HostId((FIRST_CONTROL + n).into())).collect(),
-            control: (0..self.controls).map(|n| self.at(port::CONTROL_PEER, n)).collect(),
+            founders: (0..self.controls)
+                .map(|n| HostId((FIRST_CONTROL_NUMBER + n).into()))
+                .collect(),
+            control: (0..self.controls)
+                .map(|n| self.address_at(port_offset::CONTROL_PEER, n))
+                .collect(),
             snapshot_every: 1_000,
             rehearsal: true,
         }
     }
 
-    /// Settings of an engine, from 0.
+    /// Settings of engine `n`, counted from 0.
     pub fn engine_settings(&self, n: u16) -> EngineSettings {
         EngineSettings {
             name: format!("engine-{}", n + 1),
@@ -260,7 +269,7 @@
         }
     }
 
-    /// Settings of a replica of the plain service, from 0.
+    /// Settings of replica `n` of the plain service, counted from 0.
     pub fn service_settings(&self, n: u16) -> ServiceSettings {
         ServiceSettings {
             name: format!("service-{}", n + 1),
--- a/src/site/tests.rs
+++ b/src/site/tests.rs
@@ -5,7 +5,7 @@
 use crate::settings::{self, ControlSettings, RouterSettings};
 
 #[test]
-fn both_sites_have_sound_files() {
+fn both_sites_have_valid_files() {
     for sample in [SampleSite::Perak, SampleSite::Bangkok] {
         let site = sample.plan(20_000, Path::new("data"));
         let files = site.files();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_unknown_field_is_refused_with_its_place() {
+fn an_unknown_field_is_refused_with_file_and_line() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("platform.yaml");
     std::fs::write(&path, "listen: 127.0.0.1:1\nlagg_ms: 3\n").unwrap();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_committed_sites_are_what_the_plans_write() {
+fn the_committed_sites_match_their_plans() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/sites");
     for (sample, name) in [(SampleSite::Perak, "perak"), (SampleSite::Bangkok, "bangkok")] {
         let data = Path::new("examples/sites").join(name).join("data");
@@ -44,10 +44,10 @@
         sample.plan(20_000, &data).files().write(folder.path()).unwrap();
         for file in std::fs::read_dir(folder.path()).unwrap() {
             let file = file.unwrap();
-            let fresh = std::fs::read_to_string(file.path()).unwrap();
+            let generated = std::fs::read_to_string(file.path()).unwrap();
             let committed = root.join(name).join(file.file_name());
             let committed = std::fs::read_to_string(&committed).unwrap_or_default();
-            assert_eq!(committed, fresh, "{name}/{:?} is stale", file.file_name());
+            assert_eq!(committed, generated, "{name}/{:?} is stale", file.file_name());
         }
     }
 }
