--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,8 +1,8 @@
-//! The process's clock, read at the edges and passed into decisions.
+//! The process's clock, read by I/O code and passed into decisions.
 //!
-//! It counts the time for which the host was suspended, as others' clocks do: what a host
-//! heard, was granted or promised before that is older afterwards by as much. The standard
-//! library's `Instant` stands still meanwhile.
+//! It includes the time for which the host was suspended, as the clocks of other hosts do:
+//! messages, grants and promises from before a suspension have aged by that time. The
+//! standard library's `Instant` does not advance during it.
 
 use std::ops::Add;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,23 +11,23 @@
 
 use crate::dispatch::Millis;
 
-/// A moment on a steady clock that goes on while the host is suspended.
+/// An instant of a monotonic clock that advances while the host is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// Now.
+    /// The current instant.
     pub fn now() -> BootInstant {
         let since_boot = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        BootInstant(since_boot.expect("every kernel since 2.6.39 has this clock").into())
+        BootInstant(since_boot.expect("Linux has CLOCK_BOOTTIME since 2.6.39").into())
     }
 
-    /// The time since then; none where it is still to come.
+    /// The time since this instant; zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         BootInstant::now().0.saturating_sub(self.0)
     }
 
-    /// The time until then; none where it has passed.
+    /// The time until this instant; zero if it has passed.
     pub fn remaining(self) -> Duration {
         self.0.saturating_sub(BootInstant::now().0)
     }
@@ -56,8 +56,8 @@
         self.0.elapsed().as_millis() as Millis
     }
 
-    /// What this clock showed at a time of day, in milliseconds since the epoch, as far as
-    /// the time of day has not been set since.
+    /// The value of this clock at a time of day in milliseconds since the epoch; wrong if the
+    /// time of day has been set in between.
     pub fn at_epoch(&self, epoch_at_ms: u64) -> Millis {
         self.now().saturating_sub(epoch_ms().saturating_sub(epoch_at_ms))
     }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,12 +1,12 @@
-//! The error type shared by the library's I/O edges, and its `Result` alias.
+//! The error type of the library's I/O code, and its `Result` alias.
 //!
-//! Decision code does not use these: there, outcomes are ordinary values.
+//! Decision code does not use them: its outcomes are ordinary values.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Everything that can go wrong at the edges of a process.
+/// Failures of a process's input and output.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -15,7 +15,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// A settings or configuration file does not parse.
@@ -33,7 +33,7 @@
         field: String,
         /// What is wrong with it.
         problem: String,
-        /// What to do about it.
+        /// How to correct it.
         remedy: String,
     },
     /// A socket could not be opened, read or written.
@@ -41,22 +41,22 @@
     Net {
         /// What was attempted.
         what: String,
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A connection between hosts says nothing more: it may be dead.
+    /// Nothing arrives on a connection between hosts any more: it may be dead.
     #[snafu(display("the connection fell silent"))]
     SilenceTimeout,
     /// A frame between processes could not be encoded or decoded.
     #[snafu(display("frame: {source}"))]
     Frame {
-        /// What the codec said.
+        /// The codec's error.
         source: postcard::Error,
     },
-    /// A peer speaks another version of the protocol between hosts.
+    /// A peer uses another version of the protocol between hosts.
     #[snafu(display("it speaks protocol {theirs}, this host {ours}"))]
     ProtocolMismatch {
-        /// The peer's version, or how an older message begins.
+        /// The peer's version, or the first byte of a message from before versions.
         theirs: u8,
         /// This host's.
         ours: u8,
@@ -80,15 +80,15 @@
         /// The first damaged byte.
         offset: u64,
     },
-    /// What the data folder or the leader holds is not in a form that this release reads.
+    /// State in the data folder or from the leader has a format that this release cannot read.
     #[snafu(display("{what} {cause}; install the release that wrote it again"))]
     Unreadable {
-        /// What cannot be read, and at which entry.
+        /// The state that cannot be read, and its entry.
         what: String,
         /// Why.
         cause: String,
     },
-    /// Another process holds the data folder.
+    /// Another process has locked the data folder.
     #[snafu(display("{}: the data folder is in use by another process", path.display()))]
     Locked {
         /// The folder.
@@ -97,7 +97,7 @@
     /// An operator call was answered with an error.
     #[snafu(display("{message}"))]
     Rpc {
-        /// What the other side said.
+        /// The other side's message.
         message: String,
     },
     /// A load run or report could not be made.
