--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs, metrics and the decisions kept for `explain`.
+//! Logs, metrics and the recorded decisions that `explain` shows.
 
 mod gateway;
 mod logging;
--- a/src/telemetry/gateway.rs
+++ b/src/telemetry/gateway.rs
@@ -12,27 +12,27 @@
     pub outcomes: IntCounterVec,
     /// Requests sent to one more endpoint, by service.
     pub retries: IntCounterVec,
-    /// Requests whose endpoint ended their connection before the whole answer, by service.
+    /// Requests whose endpoint closed the connection before the complete answer, by service.
     pub lost_answers: IntCounterVec,
-    /// What answers say of their endpoints, by service.
+    /// Notices that answers carry about their endpoint, by service and notice.
     pub notices: IntCounterVec,
-    /// Checks of endpoints that started again, by service and outcome.
+    /// Checks of restarted endpoints, by service and outcome.
     pub start_checks: IntCounterVec,
-    /// Streams taken up at another endpoint, by service.
+    /// Streams resumed on another endpoint, by service.
     pub resumed: IntCounterVec,
-    /// Requests while a release is rolled out, by service, release and outcome.
+    /// Requests during a roll-out, by service, release and outcome.
     pub rollout_requests: IntCounterVec,
     /// Requests sent to an endpoint of another region, by service.
     pub sent_to_other_region: IntCounterVec,
-    /// Callers' connections that other routers were asked to take, by their answer.
+    /// Callers' connections that other routers were asked to take over, by their answer.
     pub handed_over: IntCounterVec,
     /// Seconds from arrival to the head of the answer, by service.
     pub first_answer: HistogramVec,
     /// The routing version in force.
     pub routing_version: IntGauge,
-    /// Control hosts whose feeds are open.
+    /// Number of control hosts whose feeds are open.
     pub open_feeds: IntGauge,
-    /// Milliseconds for which the feed that is silent longest has said nothing.
+    /// Milliseconds since the last message of the feed that has been silent longest.
     pub feed_silence_ms: IntGauge,
 }
 
@@ -107,14 +107,14 @@
     }
 }
 
-/// Some whole numbers as gauges, in the text format.
-pub fn render_gauges(prefix: &str, figures: &[(&str, u64)]) -> String {
+/// Integer values as gauges, in the text format.
+pub fn render_gauges(prefix: &str, values: &[(&str, u64)]) -> String {
     let registry = Registry::new();
-    for (name, figure) in figures {
+    for (name, value) in values {
         let gauge = IntGauge::new(format!("{prefix}_{name}"), name.replace('_', " "));
         // Names are constants, distinct and legal.
         let gauge = gauge.expect("a legal name");
-        gauge.set(i64::try_from(*figure).unwrap_or(i64::MAX));
+        gauge.set(i64::try_from(*value).unwrap_or(i64::MAX));
         registry.register(Box::new(gauge)).expect("a distinct name");
     }
     let mut text = Vec::new();
--- a/src/telemetry/logging.rs
+++ b/src/telemetry/logging.rs
@@ -8,19 +8,19 @@
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogLayout {
-    /// For people.
+    /// Readable text.
     #[default]
     Text,
-    /// One `key=value` line an event.
+    /// One line of `key=value` pairs per event.
     Logfmt,
-    /// One JSON object an event.
+    /// One JSON object per event.
     Json,
     /// Level and message on standard output, for processes whose output is
-    /// collected with the time.
+    /// collected with timestamps.
     Plain,
 }
 
-/// Level and message, nothing else.
+/// Level and message only.
 #[derive(Debug)]
 struct PlainLayout;
 
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -12,11 +12,11 @@
     pub served_units: IntCounterVec,
     /// Attempts repeated at another endpoint.
     pub retries: IntCounter,
-    /// Answers dropped because they were another request's.
+    /// Answers dropped because they belonged to another request.
     pub crossed: IntCounter,
-    /// Streams that broke.
+    /// Streams that ended early.
     pub cut_streams: IntCounter,
-    /// Streams resumed after a break.
+    /// Streams resumed after they had ended early.
     pub resumed_streams: IntCounter,
     /// Control bytes sent to other hosts.
     pub control_bytes: IntCounter,
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -1,4 +1,4 @@
-//! Recent decisions by request, so that one can be followed from admission to answer.
+//! Recent decisions by request, from admission to answer.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, PoisonError};
@@ -6,19 +6,19 @@
 use crate::clock::epoch_ms;
 use crate::wire::HostId;
 
-/// Requests remembered by a process.
-const REMEMBERED: usize = 20_000;
-/// Steps remembered of one request.
+/// Most requests whose steps a process keeps.
+const MAX_REQUESTS: usize = 20_000;
+/// Most steps kept for one request.
 const MAX_STEPS: usize = 64;
 
-/// Number of a request in the fleet: router, its incarnation, sequence number.
+/// Number of a request, unique in the fleet: router, its incarnation, sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId {
-    /// The router that took it in.
+    /// The router that received it.
     pub router: HostId,
     /// That router's incarnation.
     pub incarnation: u64,
-    /// Its number there.
+    /// Its sequence number on that router.
     pub seq: u64,
 }
 
@@ -32,17 +32,17 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("'{text}' is not a request number such as 3-19a2b3c4d5-17");
+        let invalid = || format!("'{text}' is not a request number such as 3-19a2b3c4d5-17");
         let mut parts = text.split('-');
         let (Some(router), Some(incarnation), Some(seq), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(wrong());
+            return Err(invalid());
         };
         Ok(RequestId {
-            router: HostId(router.parse().map_err(|_| wrong())?),
-            incarnation: u64::from_str_radix(incarnation, 16).map_err(|_| wrong())?,
-            seq: seq.parse().map_err(|_| wrong())?,
+            router: HostId(router.parse().map_err(|_| invalid())?),
+            incarnation: u64::from_str_radix(incarnation, 16).map_err(|_| invalid())?,
+            seq: seq.parse().map_err(|_| invalid())?,
         })
     }
 }
@@ -52,7 +52,7 @@
 pub struct Step {
     /// When, in milliseconds since the epoch.
     pub at_ms: u64,
-    /// The deciding part, such as `dispatch`.
+    /// The part of the router that decided, such as `dispatch`.
     pub part: &'static str,
     /// What was decided, and why.
     pub text: String,
@@ -69,7 +69,7 @@
 pub struct Trace(Mutex<Requests>);
 
 impl Trace {
-    /// Logs a decision and remembers it.
+    /// Logs a decision and records it.
     pub fn decide(&self, id: RequestId, part: &'static str, text: String) {
         log::info!("{part}: request {id} {text}");
         let mut requests = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -81,14 +81,14 @@
             let at_ms = epoch_ms();
             steps.push(Step { at_ms, part, text });
         }
-        while requests.order.len() > REMEMBERED {
+        while requests.order.len() > MAX_REQUESTS {
             if let Some(oldest) = requests.order.pop_front() {
                 requests.steps.remove(&oldest);
             }
         }
     }
 
-    /// What was decided here about a request.
+    /// The recorded decisions about a request.
     pub fn explain(&self, id: RequestId) -> Vec<Step> {
         let requests = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         requests.steps.get(&id).cloned().unwrap_or_default()
