--- a/src/bin/bramblecrank/app.rs
+++ b/src/bin/bramblecrank/app.rs
@@ -1,4 +1,4 @@
-//! Turns what the command line says into one value.
+//! Converts the parsed command line to an [`App`].
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,18 +9,18 @@
 use clap::ArgMatches;
 use log::LevelFilter;
 
-/// What is to be done, and how it is logged.
+/// A command and how it logs.
 #[derive(Clone, Debug)]
 pub struct App {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: LevelFilter,
-    /// How log lines look.
+    /// Layout of log lines.
     pub layout: LogLayout,
-    /// What is to be done.
+    /// The command.
     pub task: Task,
 }
 
-/// What is to be done.
+/// A command with its arguments.
 #[derive(Clone, Debug)]
 pub enum Task {
     Router(PathBuf),
@@ -126,7 +126,7 @@
 }
 
 impl App {
-    /// Reads the matches of `clap_app::build`.
+    /// Converts the matches of `clap_app::build`.
     pub fn from_matches(matches: &ArgMatches) -> Result<App> {
         let level = text(matches, "log-level").parse().unwrap_or(LevelFilter::Info);
         let layout = match text(matches, "log-layout").as_str() {
@@ -141,7 +141,7 @@
 }
 
 fn task(matches: &ArgMatches) -> Task {
-    let (name, m) = sub(matches);
+    let (name, m) = subcommand(matches);
     match name {
         "router" => Task::Router(path(m, "settings")),
         "control" => Task::Control(path(m, "settings")),
@@ -149,8 +149,8 @@
         "check" => Task::Check { file: path(m, "file"), kind: text(m, "kind") },
         "config" => config(m),
         "endpoint" => {
-            let (action, m) = sub(m);
-            let leaving = action == "drain";
+            let (verb, m) = subcommand(m);
+            let leaving = verb == "drain";
             Task::SetLeaving { endpoint: text(m, "name"), leaving, to: addresses(m) }
         }
         "host" => host(m),
@@ -159,12 +159,12 @@
         }
         "load" => load(m),
         "hall" => {
-            let (verb, m) = sub(m);
+            let (verb, m) = subcommand(m);
             Task::OrderHall { hall: text(m, "name"), drained: verb == "drain", to: addresses(m) }
         }
         "rollout" => rollout(m),
         "quarantine" => {
-            let (verb, m) = sub(m);
+            let (verb, m) = subcommand(m);
             match verb {
                 "release" => {
                     Task::Release { fingerprint: text(m, "fingerprint"), to: addresses(m) }
@@ -186,7 +186,7 @@
 }
 
 fn emulate(matches: &ArgMatches) -> Task {
-    let (name, m) = sub(matches);
+    let (name, m) = subcommand(matches);
     let settings = path(m, "settings");
     match name {
         "engine" => Task::Engine(settings),
@@ -196,7 +196,7 @@
 }
 
 fn config(matches: &ArgMatches) -> Task {
-    let (name, m) = sub(matches);
+    let (name, m) = subcommand(matches);
     match name {
         "apply" => Task::Apply {
             file: path(m, "file"),
@@ -217,7 +217,7 @@
 }
 
 fn host(matches: &ArgMatches) -> Task {
-    let (name, m) = sub(matches);
+    let (name, m) = subcommand(matches);
     match name {
         "stop" => Task::StopHost { to: address(m) },
         "replace-control" => Task::ReplaceControl {
@@ -226,16 +226,16 @@
             to: addresses(m),
         },
         _ => Task::Rehearse {
-            cut_to: many(m, "cut-to"),
-            cut_from: many(m, "cut-from"),
-            cut_halls: many(m, "cut-halls"),
+            cut_to: values(m, "cut-to"),
+            cut_from: values(m, "cut-from"),
+            cut_halls: values(m, "cut-halls"),
             to: address(m),
         },
     }
 }
 
 fn rollout(matches: &ArgMatches) -> Task {
-    let (name, m) = sub(matches);
+    let (name, m) = subcommand(matches);
     let (service, to) = (text(m, "service"), addresses(m));
     match name {
         "start" => Task::StartRollout {
@@ -249,7 +249,7 @@
 }
 
 fn load(matches: &ArgMatches) -> Task {
-    let (name, m) = sub(matches);
+    let (name, m) = subcommand(matches);
     match name {
         "run" => Task::Load {
             file: path(m, "file"),
@@ -261,8 +261,7 @@
     }
 }
 
-fn sub(matches: &ArgMatches) -> (&str, &ArgMatches) {
-    // clap requires a subcommand wherever this is called.
+fn subcommand(matches: &ArgMatches) -> (&str, &ArgMatches) {
     matches.subcommand().expect("clap requires a subcommand")
 }
 
@@ -278,12 +277,12 @@
     matches.get_flag(name)
 }
 
-fn many<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> Vec<T> {
+fn values<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> Vec<T> {
     matches.get_many::<T>(name).into_iter().flatten().cloned().collect()
 }
 
 fn addresses(matches: &ArgMatches) -> Vec<SocketAddr> {
-    many(matches, "to")
+    values(matches, "to")
 }
 
 fn address(matches: &ArgMatches) -> SocketAddr {
--- a/src/bin/bramblecrank/clap_app.rs
+++ b/src/bin/bramblecrank/clap_app.rs
@@ -1,4 +1,4 @@
-//! Builds the command line; `app` reads what was given.
+//! Defines the command line; `app` converts what was given.
 
 use clap::{Arg, ArgAction, Command, crate_version, value_parser};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 Examples:
   bramblecrank demo
-      A whole fleet in one process, with a small load and its measures.
+      A complete fleet in one process, with a small load and its measurements.
   bramblecrank site perak --out /tmp/perak
       Settings files of a sample site, ready to start as separate processes.
   bramblecrank check router.yaml --kind router
@@ -24,7 +24,7 @@
   bramblecrank explain 3-19a2b3c4d5-17 --to 127.0.0.1:20301
       Follows one request from admission to answer.";
 
-/// The whole command.
+/// The complete command line.
 pub fn build() -> Command {
     Command::new("bramblecrank")
         .version(crate_version!())
@@ -63,9 +63,7 @@
         .subcommand(site())
         .subcommand(
             Command::new("demo")
-                .about(
-                    "Runs a whole fleet in one process with a small load, and prints its measures",
-                )
+                .about("Runs a complete fleet in one process with a small load, and reports on it")
                 .arg(
                     Arg::new("seconds")
                         .long("seconds")
@@ -116,7 +114,7 @@
 
 fn emulate() -> Command {
     Command::new("emulate")
-        .about("Runs a stand-in of what the fleet serves")
+        .about("Runs an emulated engine, service or platform")
         .subcommand_required(true)
         .subcommand(process("engine", "An emulated model engine"))
         .subcommand(process("service", "An emulated plain service with a ledger"))
@@ -127,7 +125,7 @@
     Command::new("check")
         .about("Checks a settings or configuration file")
         .long_about(
-            "Checks a file without using it. A wrong one is refused with file, line, field \
+            "Checks a file without using it. An invalid one is refused with file, line, field \
              and remedy.\n\nExample:\n  bramblecrank check site.yaml --kind configuration",
         )
         .arg(file("The file to check"))
@@ -158,9 +156,9 @@
                 .about("Declares, replaces and removes what a document names")
                 .long_about(
                     "Applies a configuration document as one change. With --base the change is \
-                     refused when another came first. An answer lost on the way is made good by \
-                     sending the same operation again.\n\nExample:\n  bramblecrank config apply \
-                     customers.yaml --to 127.0.0.1:20200 --base 7",
+                     refused if another came first. If the answer is lost, the same operation \
+                     is sent again; it is applied only once.\n\nExample:\n  \
+                     bramblecrank config apply customers.yaml --to 127.0.0.1:20200 --base 7",
                 )
                 .arg(file("The document, in YAML"))
                 .arg(to())
@@ -204,10 +202,10 @@
 fn endpoint() -> Command {
     let name = || Arg::new("name").required(true).help("The endpoint's name");
     Command::new("endpoint")
-        .about("Takes endpoints out and back in")
+        .about("Drains and restores endpoints")
         .subcommand_required(true)
-        .subcommand(Command::new("drain").about("Gives it no new work").arg(name()).arg(to()))
-        .subcommand(Command::new("restore").about("Gives it work again").arg(name()).arg(to()))
+        .subcommand(Command::new("drain").about("Sends it no new requests").arg(name()).arg(to()))
+        .subcommand(Command::new("restore").about("Sends it requests again").arg(name()).arg(to()))
 }
 
 fn hall() -> Command {
@@ -216,16 +214,16 @@
         Command::new(verb).about(about).arg(name()).arg(to())
     };
     Command::new("hall")
-        .about("Takes data halls out and back in")
+        .about("Drains and restores data halls")
         .long_about(
-            "Takes a data hall's registered endpoints out and back in. What runs there ends \
-             there; nothing new is sent to it, also after control hosts were restarted. An \
-             order may be sent again.\n\nExample:\n  bramblecrank hall drain perak-a --to \
+            "Drains or restores the registered endpoints of a data hall. Running requests end \
+             there; no new ones are sent to it, even after control hosts restart. An \
+             order may be repeated.\n\nExample:\n  bramblecrank hall drain perak-a --to \
              10.1.0.41:7255",
         )
         .subcommand_required(true)
-        .subcommand(order("drain", "Gives its endpoints no new work"))
-        .subcommand(order("restore", "Gives its endpoints work again"))
+        .subcommand(order("drain", "Sends its endpoints no new requests"))
+        .subcommand(order("restore", "Sends its endpoints requests again"))
 }
 
 fn rollout() -> Command {
@@ -236,16 +234,16 @@
         .required(true)
         .value_name("SECONDS")
         .value_parser(value_parser!(f64))
-        .help("Seconds in which it must be decided");
+        .help("Seconds within which it must be decided");
     let start = Command::new("start").about("Orders a release to be rolled out");
     let status = Command::new("status").about("Shows the newest roll-out of a service");
     Command::new("rollout")
-        .about("Rolls a release of a service out")
+        .about("Rolls out a release of a service")
         .long_about(
-            "Rolls a release of a service out: a small part of its requests goes to the \
+            "Rolls out a release of a service: a small part of its requests goes to the \
              release's endpoints first, then all of them, or none if it is bad. Order it before \
              they are started: until then they get requests like any other. An order may be \
-             sent again.\n\nExample:\n  \
+             repeated.\n\nExample:\n  \
              bramblecrank rollout start llm v2 --within 30 --to 10.1.0.41:7255",
         )
         .subcommand_required(true)
@@ -256,14 +254,14 @@
 fn quarantine() -> Command {
     let fingerprint =
         Arg::new("fingerprint").required(true).help("The request, as the list and logs name it");
-    let list = Command::new("list").about("Shows them as a control host knows them");
+    let list = Command::new("list").about("Lists them as recorded by a control host");
     let release = Command::new("release").about("Lets a request run again");
     Command::new("quarantine")
         .about("Shows requests that crash endpoints, and lets them run again")
         .long_about(
             "Shows requests that are refused because they crashed the endpoints that ran them, \
-             and lets them run again before their time is over, as after a new release of the \
-             endpoints.\n\nExample:\n  bramblecrank quarantine release \
+             and lets them run again before the refusal expires, for example after a new \
+             release of the endpoints.\n\nExample:\n  bramblecrank quarantine release \
              market-traders/11492f17cbd67f840cde18bf27023bf2 --to 10.1.0.41:7255",
         )
         .subcommand_required(true)
@@ -281,16 +279,16 @@
             .help(help)
     };
     Command::new("host")
-        .about("Works on single hosts of the fleet")
+        .about("Controls single hosts of the fleet")
         .subcommand_required(true)
         .subcommand(Command::new("stop").about("Begins a planned stop").arg(to()))
         .subcommand(
             Command::new("replace-control")
-                .about("Lets a control host's store into the group")
+                .about("Adds a control host's store to the group")
                 .long_about(
-                    "Lets the store of a control host into the group. It counts in majorities \
-                     only once it has caught up; the store named by --old-store then leaves.\n\n\
-                     Example:\n  bramblecrank host replace-control --host 102 --old-store \
+                    "Adds the store of a control host to the group. It counts in majorities \
+                     only once it has caught up; the store named by --old-store is then \
+                     removed.\n\nExample:\n  bramblecrank host replace-control --host 102 --old-store \
                      91b2c3d4e5f60718 --to 127.0.0.1:20200",
                 )
                 .arg(
@@ -298,16 +296,16 @@
                         .long("host")
                         .required(true)
                         .value_parser(value_parser!(u32))
-                        .help("The host whose store is let in"),
+                        .help("The host whose store is added"),
                 )
                 .arg(Arg::new("old-store").long("old-store").help("The store that it replaces"))
                 .arg(to()),
         )
         .subcommand(
             Command::new("rehearse")
-                .about("Cuts links of a host whose settings allow it; without flags, mends all")
+                .about("Cuts links of a host whose settings allow it; without flags, restores all")
                 .arg(ids("cut-to", "Hosts to which nothing is sent"))
-                .arg(ids("cut-from", "Hosts from which nothing is heard"))
+                .arg(ids("cut-from", "Hosts from which nothing is received"))
                 .arg(
                     Arg::new("cut-halls")
                         .long("cut-halls")
@@ -329,7 +327,7 @@
 
 fn load() -> Command {
     Command::new("load")
-        .about("Runs a scripted load against a running fleet and reports its measures")
+        .about("Runs a scripted load against a running fleet and reports measurements")
         .long_about(
             "Runs the load that a file describes and prints fairness gap, utilisation, control \
              traffic, latencies and faults, as docs/MEASURES.md defines them.\n\nExamples:\n  \
@@ -345,7 +343,7 @@
                 .arg(output("plot", "Where to draw the gap over time, as SVG"))
                 .arg(
                     Arg::new("check").long("check").action(ArgAction::SetTrue).help(
-                        "Fail when anything was doubled, crossed, truncated or falsely not run",
+                        "Fail if anything was doubled, crossed, truncated or falsely not run",
                     ),
                 ),
         )
@@ -383,6 +381,6 @@
             Arg::new("alone")
                 .long("alone")
                 .action(ArgAction::SetTrue)
-                .help("Routers dispatch each for itself: the baseline of measurements"),
+                .help("Each router dispatches on its own: the baseline for measurements"),
         )
 }
--- a/src/bin/bramblecrank/command.rs
+++ b/src/bin/bramblecrank/command.rs
@@ -1,4 +1,4 @@
-//! Carries out what the command line asks for.
+//! Runs commands, apart from those in `operate`.
 
 use std::io::{IsTerminal, Write};
 use std::path::Path;
@@ -14,17 +14,18 @@
 use crate::operate;
 use crate::platform;
 
-/// Runs the app in a runtime of its own.
+/// Runs the command in a runtime of its own.
 pub fn run(app: App) -> Result<()> {
     let quiet = matches!(app.task, Task::Demo { .. } | Task::Load { .. });
     let level = if quiet { app.level.min(log::LevelFilter::Warn) } else { app.level };
     telemetry::start_logging(level, app.layout);
     let runtime = runtime_for(&app.task).enable_all().build();
     let runtime = runtime.map_err(|source| Error::Net { what: "start".into(), source })?;
-    runtime.block_on(carry_out(app.task))
+    runtime.block_on(execute(app.task))
 }
 
-/// Daemons of small hosts run on one thread; load tools and emulators on all.
+/// Routers and control hosts run on one thread, since their hosts are small; other commands
+/// use all cores.
 fn runtime_for(task: &Task) -> tokio::runtime::Builder {
     match task {
         Task::Router(_) | Task::Control(_) => tokio::runtime::Builder::new_current_thread(),
@@ -32,7 +33,7 @@
     }
 }
 
-/// A router serves chat completions, or by routes in the platform's terms.
+/// Runs a router for chat completions, or a gateway where its settings configure one.
 async fn run_router(settings: RouterSettings) -> Result<()> {
     let stop = stop_on_signal();
     match settings.gateway.clone() {
@@ -43,7 +44,7 @@
     }
 }
 
-/// A control host also takes the platform's calls, where its settings say so.
+/// Runs a control host; it also serves the platform's calls where its settings say so.
 async fn run_control(settings: ControlSettings) -> Result<()> {
     let interface = settings
         .platform
@@ -51,7 +52,7 @@
     control::run(settings, stop_on_signal(), interface).await
 }
 
-async fn carry_out(task: Task) -> Result<()> {
+async fn execute(task: Task) -> Result<()> {
     match task {
         Task::Router(file) => run_router(settings::read(&file)?).await,
         Task::Control(file) => run_control(settings::read(&file)?).await,
@@ -84,7 +85,7 @@
 fn stop_on_signal() -> CancellationToken {
     let stop = CancellationToken::new();
     let token = stop.clone();
-    tokio::spawn(note_hangups());
+    tokio::spawn(log_hangups());
     tokio::spawn(async move {
         signal().await;
         token.cancel();
@@ -95,10 +96,10 @@
     stop
 }
 
-/// Logs when the platform says that the settings file has changed. What a
-/// running process could take from it, addresses and peers, it learns from its
-/// peers; the file is read at the next start.
-async fn note_hangups() {
+/// Logs each hangup signal, with which the platform reports a changed settings file. The
+/// file is read only at the next start: a running process learns new addresses and peers
+/// from its peers.
+async fn log_hangups() {
     use tokio::signal::unix::{SignalKind, signal};
     let Ok(mut hangup) = signal(SignalKind::hangup()) else { return };
     while hangup.recv().await.is_some() {
@@ -113,7 +114,7 @@
     };
     tokio::select! {
         _ = terminate.recv() => {}
-        // Without a handler for it the process simply goes on.
+        // Without a handler for this signal the process would continue.
         _ = tokio::signal::ctrl_c() => {}
     }
 }
@@ -135,7 +136,7 @@
         "load" => settings::read::<LoadFile>(file)?.check()?,
         _ => operate::check_document(file)?,
     }
-    println!("{} is a sound {kind} file", file.display());
+    println!("{} is a valid {kind} file", file.display());
     Ok(())
 }
 
@@ -157,7 +158,7 @@
         load::plot(&[&report], path)?;
     }
     match check && !report.is_clean() {
-        true => Err(Error::Load { message: "a promise was broken; see the report".into() }),
+        true => Err(Error::Load { message: "guarantees were broken; see the report".into() }),
         false => Ok(()),
     }
 }
@@ -174,20 +175,18 @@
         "A fleet of 3 routers, 1 control host, 4 engines and 2 ticket services, in one process."
     );
     println!(
-        "harbour-agents enter by one router, truck-drivers by all; both want more than there is."
+        "harbour-agents call one router, truck-drivers all; both exceed the fleet's capacity."
     );
     let report = demo::run(seconds, |at| show_progress(at, seconds as f64)).await?;
     println!("{report}");
-    println!(
-        "The gap stays small though customers are spread unevenly: docs/DISPATCH.md tells how."
-    );
+    println!("The gap stays small though customers are spread unevenly: see docs/DISPATCH.md.");
     Ok(())
 }
 
 fn show_progress(at: f64, of: f64) {
     let mut err = std::io::stderr();
     if err.is_terminal() {
-        // A progress line that cannot be shown is no loss.
+        // Progress is optional: write errors are ignored.
         let _ = write!(err, "\r{at:6.1} of {of:.0} s ");
         let _ = err.flush();
     }
--- a/src/bin/bramblecrank/operate.rs
+++ b/src/bin/bramblecrank/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' commands.
+//! Commands that call operator ports.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -13,7 +13,7 @@
 use crate::app::Task;
 use crate::{quarantine, rollout};
 
-/// Carries out an operator's command.
+/// Runs an operator's command.
 pub async fn run(task: Task) -> Result<()> {
     match task {
         Task::Apply { file, to, base, operation, json } => {
@@ -26,7 +26,7 @@
         Task::SetLeaving { endpoint, leaving, to } => {
             let leaving = vec![proto::Leaving { endpoint, leaving }];
             let request = proto::ApplyRequest { leaving, ..request(None, None) };
-            report_applied(&to, request, false).await
+            apply_and_report(&to, request, false).await
         }
         Task::OrderHall { hall, drained, to } => order_hall(hall, drained, &to).await,
         Task::StartRollout { service, version, within_s, to } => {
@@ -37,7 +37,7 @@
         Task::Release { fingerprint, to } => quarantine::release(fingerprint, &to).await,
         Task::StopHost { to } => {
             let mut client = operator::connect(to).await?;
-            client.stop(proto::StopRequest {}).await.map_err(refused)?;
+            client.stop(proto::StopRequest {}).await.map_err(status_error)?;
             println!("the host at {to} stops once its requests have ended");
             Ok(())
         }
@@ -45,14 +45,14 @@
         Task::Rehearse { cut_to, cut_from, cut_halls, to } => {
             let request = proto::RehearseRequest { cut_to, cut_from, cut_halls };
             let mut client = operator::connect(to).await?;
-            let reply = client.rehearse(request).await.map_err(refused)?;
+            let reply = client.rehearse(request).await.map_err(status_error)?;
             match reply.into_inner().accepted {
                 true => Ok(()),
-                false => rpc("the host's settings do not allow rehearsals"),
+                false => rpc_error("the host's settings do not allow rehearsals"),
             }
         }
         Task::Explain { request, to, json } => explain(&request, to, json).await,
-        // The rest is carried out by the caller.
+        // The caller runs the other tasks.
         _ => Ok(()),
     }
 }
@@ -68,11 +68,11 @@
     })
 }
 
-pub(crate) fn rpc<T>(message: impl Into<String>) -> Result<T> {
+pub(crate) fn rpc_error<T>(message: impl Into<String>) -> Result<T> {
     Err(Error::Rpc { message: message.into() })
 }
 
-pub(crate) fn refused(status: tonic::Status) -> Error {
+pub(crate) fn status_error(status: tonic::Status) -> Error {
     Error::Rpc { message: status.message().to_string() }
 }
 
@@ -91,13 +91,17 @@
 ) -> Result<()> {
     let document = std::fs::read_to_string(file);
     let document = document.map_err(|source| Error::File { path: file.into(), source })?;
-    // Parsed here too, so that a mistake is named with file and line.
+    // Also parsed here, so that an error names file and line.
     let _: Document = settings::read(file)?;
     let request = proto::ApplyRequest { document, ..request(base, operation) };
-    report_applied(to, request, json).await
+    apply_and_report(to, request, json).await
 }
 
-async fn report_applied(to: &[SocketAddr], request: proto::ApplyRequest, json: bool) -> Result<()> {
+async fn apply_and_report(
+    to: &[SocketAddr],
+    request: proto::ApplyRequest,
+    json: bool,
+) -> Result<()> {
     use proto::apply_reply::Result as Applied;
     let reply = operator::apply_document(to, request).await?;
     if json {
@@ -115,9 +119,9 @@
             Ok(())
         }
         Applied::Conflict => {
-            rpc(format!("another change came first: version {} stands", reply.version))
+            rpc_error(format!("another change came first: version {} stands", reply.version))
         }
-        _ => rpc(format!("{}: {}; {}", reply.field, reply.problem, reply.remedy)),
+        _ => rpc_error(format!("{}: {}; {}", reply.field, reply.problem, reply.remedy)),
     }
 }
 
@@ -132,31 +136,31 @@
 
 async fn fetch(to: SocketAddr) -> Result<proto::GetReply> {
     let mut client = operator::connect(to).await?;
-    let reply = client.get(proto::GetRequest {}).await.map_err(refused)?;
+    let reply = client.get(proto::GetRequest {}).await.map_err(status_error)?;
     Ok(reply.into_inner())
 }
 
 async fn diff(file: &Path, to: SocketAddr) -> Result<()> {
     let document: Document = settings::read(file)?;
-    let standing = fetch(to).await?;
-    let parsed = serde_saphyr::from_str::<Document>(&standing.document);
-    let now = parsed.map_err(|e| Error::Rpc { message: e.to_string() })?;
-    let config = Config::default().apply(&now.changes());
+    let current = fetch(to).await?;
+    let parsed = serde_saphyr::from_str::<Document>(&current.document);
+    let current_document = parsed.map_err(|e| Error::Rpc { message: e.to_string() })?;
+    let config = Config::default().apply(&current_document.changes());
     let next = config.and_then(|c| c.apply(&document.changes()));
     let next = next.map_err(|refusal| Error::Rpc { message: refusal.to_string() })?;
     let lines = |d: &Document| serde_saphyr::to_string(d).unwrap_or_default();
-    let (before, after) = (lines(&now), lines(&Document::of(&next)));
-    println!("# against version {}", standing.version);
-    let gone = before.lines().filter(|l| !after.lines().any(|other| other == *l));
-    gone.for_each(|line| println!("-{line}"));
-    let new = after.lines().filter(|l| !before.lines().any(|other| other == *l));
-    new.for_each(|line| println!("+{line}"));
+    let (before, after) = (lines(&current_document), lines(&Document::of(&next)));
+    println!("# against version {}", current.version);
+    let removed = before.lines().filter(|l| !after.lines().any(|other| other == *l));
+    removed.for_each(|line| println!("-{line}"));
+    let added = after.lines().filter(|l| !before.lines().any(|other| other == *l));
+    added.for_each(|line| println!("+{line}"));
     Ok(())
 }
 
 async fn history(to: SocketAddr, most: u32, as_json: bool) -> Result<()> {
     let mut client = operator::connect(to).await?;
-    let reply = client.history(proto::HistoryRequest { most }).await.map_err(refused)?;
+    let reply = client.history(proto::HistoryRequest { most }).await.map_err(status_error)?;
     for entry in reply.into_inner().entries {
         match as_json {
             true => println!("{}", json!({"version": entry.version, "changes": entry.changes})),
@@ -231,7 +235,7 @@
 }
 
 async fn order_hall(hall: String, drained: bool, to: &[SocketAddr]) -> Result<()> {
-    let mut said = "no control host answered".to_string();
+    let mut failure = "no control host answered".to_string();
     for address in to {
         let Ok(mut client) = operator::connect(*address).await else { continue };
         let request = proto::OrderHallRequest { hall: hall.clone(), drained };
@@ -240,10 +244,10 @@
                 println!("drained data halls: {}", list(&reply.get_ref().drained_halls));
                 return Ok(());
             }
-            Err(status) => said = status.message().to_string(),
+            Err(status) => failure = status.message().to_string(),
         }
     }
-    rpc(said)
+    rpc_error(failure)
 }
 
 fn list(names: &[String]) -> String {
@@ -251,7 +255,7 @@
 }
 
 async fn replace_control(host: u32, old_store: String, to: &[SocketAddr]) -> Result<()> {
-    let mut said = "no control host answered".to_string();
+    let mut failure = "no control host answered".to_string();
     for address in to {
         let Ok(mut client) = operator::connect(*address).await else { continue };
         let request = proto::ReplaceControlRequest { host, old_store: old_store.clone() };
@@ -260,17 +264,17 @@
                 println!("{}", reply.get_ref().message);
                 return Ok(());
             }
-            Ok(reply) => said = reply.into_inner().message,
-            Err(status) => said = status.message().to_string(),
+            Ok(reply) => failure = reply.into_inner().message,
+            Err(status) => failure = status.message().to_string(),
         }
     }
-    rpc(said)
+    rpc_error(failure)
 }
 
 async fn explain(request: &str, to: SocketAddr, as_json: bool) -> Result<()> {
     let steps = operator::explain(to, request).await?;
     if steps.is_empty() {
-        return rpc("no live host remembers this request");
+        return rpc_error("no live host remembers this request");
     }
     let start = steps[0].at_ms;
     for step in steps {
--- a/src/bin/bramblecrank/quarantine.rs
+++ b/src/bin/bramblecrank/quarantine.rs
@@ -6,12 +6,12 @@
 use bramblecrank::operator::{self, proto};
 use serde_json::json;
 
-use crate::operate::{refused, rpc};
+use crate::operate::{rpc_error, status_error};
 
-/// Shows the requests that are refused or on trial, as one control host knows them.
+/// Shows the requests that are refused or on trial, as recorded by one control host.
 pub async fn list(to: SocketAddr, as_json: bool) -> Result<()> {
     let mut client = operator::connect(to).await?;
-    let reply = client.status(proto::StatusRequest {}).await.map_err(refused)?;
+    let reply = client.status(proto::StatusRequest {}).await.map_err(status_error)?;
     let quarantined = reply.into_inner().quarantined;
     if as_json {
         println!("{}", json!(quarantined.iter().map(to_json).collect::<Vec<_>>()));
@@ -35,10 +35,10 @@
         "crashes": request.crashes, "times": request.times, "until_ms": request.until_ms})
 }
 
-/// Lets a request run again, at the first control host that answers for sure.
+/// Lets a request run again, through the first control host that accepts the order.
 pub async fn release(fingerprint: String, to: &[SocketAddr]) -> Result<()> {
     let request = proto::ReleaseRequest { fingerprint };
-    let mut said = "no control host answered".to_string();
+    let mut failure = "no control host answered".to_string();
     for address in to {
         let Ok(mut client) = operator::connect(*address).await else { continue };
         match client.release(request.clone()).await {
@@ -46,8 +46,8 @@
                 println!("{} may run again", request.fingerprint);
                 return Ok(());
             }
-            Err(status) => said = status.message().to_string(),
+            Err(status) => failure = status.message().to_string(),
         }
     }
-    rpc(said)
+    rpc_error(failure)
 }
--- a/src/bin/bramblecrank/rollout.rs
+++ b/src/bin/bramblecrank/rollout.rs
@@ -1,4 +1,4 @@
-//! Operators' commands about releases that are rolled out.
+//! Operators' commands about roll-outs of releases.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 use bramblecrank::operator::{self, proto};
 use serde_json::json;
 
-use crate::operate::rpc;
+use crate::operate::rpc_error;
 
-/// Orders a release to be rolled out, at the first control host that answers for sure.
+/// Orders a roll-out of a release, through the first control host that accepts the order.
 pub async fn start(
     service: String,
     version: String,
     within_s: f64,
     to: &[SocketAddr],
 ) -> Result<()> {
-    // What is no length of time is refused like one that is too short.
+    // An invalid length of time is refused like one that is too short.
     let within = Duration::try_from_secs_f64(within_s).unwrap_or_default();
     let within_ms = within.as_millis() as u64;
     let request = proto::OrderRolloutRequest { service, version, within_ms };
-    let mut said = "no control host answered".to_string();
+    let mut failure = "no control host answered".to_string();
     for address in to {
         let Ok(mut client) = operator::connect(*address).await else { continue };
         match client.order_rollout(request.clone()).await {
@@ -28,15 +28,15 @@
                 println!("{} of {} is being rolled out", request.version, request.service);
                 return Ok(());
             }
-            Err(status) => said = status.message().to_string(),
+            Err(status) => failure = status.message().to_string(),
         }
     }
-    rpc(said)
+    rpc_error(failure)
 }
 
 /// Shows the newest roll-out of a service.
 pub async fn status(service: &str, to: &[SocketAddr], as_json: bool) -> Result<()> {
-    let mut said = "no control host answered".to_string();
+    let mut failure = "no control host answered".to_string();
     for address in to {
         let Ok(mut client) = operator::connect(*address).await else { continue };
         let request = proto::GetRolloutRequest { service: service.to_string() };
@@ -49,13 +49,13 @@
                 }
                 return Ok(());
             }
-            Err(status) => said = status.message().to_string(),
+            Err(status) => failure = status.message().to_string(),
         }
     }
-    rpc(said)
+    rpc_error(failure)
 }
 
-/// A roll-out in a few words.
+/// A short description of a roll-out.
 pub fn describe(rollout: &proto::RolloutStatus) -> String {
     let within_s = rollout.within_ms as f64 / 1_000.0;
     format!(
