--- a/src/bin/bramblecrank/clap_app.rs
+++ b/src/bin/bramblecrank/clap_app.rs
@@ -288,8 +288,8 @@
                 .long_about(
                     "Adds the store of a control host to the group. It counts in majorities \
                      only once it has caught up; the store named by --old-store is then \
-                     removed.\n\nExample:\n  bramblecrank host replace-control --host 102 --old-store \
-                     91b2c3d4e5f60718 --to 127.0.0.1:20200",
+                     removed.\n\nExample:\n  bramblecrank host replace-control --host 102 \
+                     --old-store 91b2c3d4e5f60718 --to 127.0.0.1:20200",
                 )
                 .arg(
                     Arg::new("host")
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -39,7 +39,7 @@
 pub struct HostSettings {
     /// The host's name, for display.
     pub name: String,
-    /// The host's number, unique in the fleet; by default derived from its IP address.
+    /// The host's number, unique in the fleet; by default its IPv4 address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<HostId>,
     /// The data hall that it is in.
@@ -300,7 +300,8 @@
 }
 
 impl HostSettings {
-    /// The host's number: the one given, or one derived from its IP address.
+    /// The host's number: the one given, or its IPv4 address, or a hash of
+    /// its IPv6 address.
     pub fn host_id(&self) -> HostId {
         match (self.id, self.peer) {
             (Some(id), _) => id,
