--- a/src/control.rs
+++ b/src/control.rs
@@ -46,7 +46,7 @@
 
 use published::Published;
 
-pub use documents::Unanswered;
+pub use documents::CallError;
 pub use halls::HallOrder;
 pub use handle::{Handle, Leadership, NoLeader};
 pub use join::Joined;
--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -11,7 +11,7 @@
 
 /// Why an operator's call cannot be answered here now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum CallError {
     /// The document is invalid.
     Invalid(Refusal),
     /// There is no such data hall.
@@ -25,20 +25,20 @@
     /// Another host leads.
     Elsewhere(HostId),
     /// Nothing can be said for sure; ask again.
-    Unsure,
+    Uncertain,
 }
 
 /// A reply that belongs to another kind of command: nothing can be said for sure.
-pub(super) fn unexpected(reply: &Reply) -> Unanswered {
+pub(super) fn unexpected(reply: &Reply) -> CallError {
     log::error!("control: a command got the reply of another kind: {reply:?}");
-    Unanswered::Unsure
+    CallError::Uncertain
 }
 
-impl From<NoLeader> for Unanswered {
+impl From<NoLeader> for CallError {
     fn from(no_leader: NoLeader) -> Self {
         match no_leader {
-            NoLeader::Elsewhere(host) => Unanswered::Elsewhere(host),
-            NoLeader::Unknown | NoLeader::Uncertain => Unanswered::Unsure,
+            NoLeader::Elsewhere(host) => CallError::Elsewhere(host),
+            NoLeader::Unknown | NoLeader::Uncertain => CallError::Uncertain,
         }
     }
 }
@@ -46,8 +46,8 @@
 impl Control {
     /// Puts a document in force unless one at least as high is. Returns the
     /// version in force, which is on the disks of a majority.
-    pub async fn replace_document(&self, document: Document) -> Result<u64, Unanswered> {
-        document.table.check().map_err(Unanswered::Invalid)?;
+    pub async fn replace_document(&self, document: Document) -> Result<u64, CallError> {
+        document.table.check().map_err(CallError::Invalid)?;
         let version = document.table.version;
         let held = self.documents.current().map(|routing| routing.table.version);
         if let Some(held) = held.filter(|held| *held >= version) {
@@ -68,7 +68,7 @@
     }
 
     /// The newest document; none before the first.
-    pub async fn read_document(&self) -> Result<Option<Arc<Document>>, Unanswered> {
+    pub async fn read_document(&self) -> Result<Option<Arc<Document>>, CallError> {
         self.handle.read().await?;
         let document = self.handle.look(|state| state.document().cloned()).await?;
         Ok(document)
--- a/src/control/halls.rs
+++ b/src/control/halls.rs
@@ -1,7 +1,7 @@
 //! Draining data halls and taking them back.
 
 use super::Control;
-use super::documents::{Unanswered, unexpected};
+use super::documents::{CallError, unexpected};
 use super::state::{Command, Reply};
 use crate::registry::DrainedHalls;
 
@@ -21,9 +21,9 @@
         &self,
         order: HallOrder,
         hall: &str,
-    ) -> Result<DrainedHalls, Unanswered> {
+    ) -> Result<DrainedHalls, CallError> {
         if !self.knows_hall(hall) {
-            return Err(Unanswered::UnknownHall);
+            return Err(CallError::UnknownHall);
         }
         let command = match order {
             HallOrder::Drain => Command::DrainHall(hall.to_string()),
--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Control;
-use super::documents::{Unanswered, unexpected};
+use super::documents::{CallError, unexpected};
 use super::state::{Command, Reply};
 use crate::clock::epoch_ms;
 use crate::dispatch::Millis;
@@ -128,7 +128,7 @@
 
 impl Control {
     /// An operator lets a request run again. That is on the disks of a majority then.
-    pub async fn release(&self, fingerprint: Fingerprint) -> Result<(), Unanswered> {
+    pub async fn release(&self, fingerprint: Fingerprint) -> Result<(), CallError> {
         let verdict = Verdict::Release(fingerprint);
         match self.handle.propose(Command::Quarantine(verdict.clone())).await? {
             Reply::Quarantined => {
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Control;
-use super::documents::{Unanswered, unexpected};
+use super::documents::{CallError, unexpected};
 use super::state::{Command, Reply};
 use crate::clock::epoch_ms;
 use crate::config::Refusal;
@@ -17,15 +17,15 @@
 /// Longest time for a roll-out; more is taken for a mistake in the unit.
 const MOST_DURATION: Duration = Duration::from_secs(7 * 24 * 3_600);
 
-fn refusal(field: &str, problem: &str, remedy: &str) -> Unanswered {
-    Unanswered::Invalid(Refusal {
+fn refusal(field: &str, problem: &str, remedy: &str) -> CallError {
+    CallError::Invalid(Refusal {
         field: field.to_string(),
         problem: problem.to_string(),
         remedy: remedy.to_string(),
     })
 }
 
-fn check(service: &str, version: &str, duration: Duration) -> Result<(), Unanswered> {
+fn check(service: &str, version: &str, duration: Duration) -> Result<(), CallError> {
     if service.is_empty() {
         return Err(refusal("service", "is empty", "name a service"));
     }
@@ -49,11 +49,11 @@
         service: &str,
         version: &str,
         duration: Duration,
-    ) -> Result<(), Unanswered> {
+    ) -> Result<(), CallError> {
         check(service, version, duration)?;
         // Before the first document no service is known, which is no fault of the order.
         if self.read_document().await?.is_none() {
-            return Err(Unanswered::Unsure);
+            return Err(CallError::Uncertain);
         }
         let order = Order {
             service: service.to_string(),
@@ -69,8 +69,8 @@
                 );
                 match ordered {
                     OrderOutcome::Taken => Ok(()),
-                    OrderOutcome::UnderWay => Err(Unanswered::UnderWay),
-                    OrderOutcome::UnknownService => Err(Unanswered::UnknownService),
+                    OrderOutcome::UnderWay => Err(CallError::UnderWay),
+                    OrderOutcome::UnknownService => Err(CallError::UnknownService),
                 }
             }
             other => Err(unexpected(&other)),
@@ -78,11 +78,11 @@
     }
 
     /// The newest roll-out of a service, as agreed.
-    pub async fn read_rollout(&self, service: &str) -> Result<Rollout, Unanswered> {
+    pub async fn read_rollout(&self, service: &str) -> Result<Rollout, CallError> {
         self.handle.read().await?;
         let name = service.to_string();
         let rollout = self.handle.look(move |state| state.rollouts().get(&name).cloned()).await?;
-        rollout.ok_or(Unanswered::NoRollout)
+        rollout.ok_or(CallError::NoRollout)
     }
 
     /// Roll-outs under way as this host knows them, and what it counts where it leads.
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -13,7 +13,7 @@
 use super::proto::operator_server::{Operator, OperatorServer};
 use super::{client, proto, view};
 use crate::agree::{GroupMember, StoreId};
-use crate::control::{Command, Control, HallOrder, NoLeader, Reply, Unanswered};
+use crate::control::{CallError, Command, Control, HallOrder, NoLeader, Reply};
 use crate::quarantine::{Fingerprint, InvalidFingerprint};
 use crate::wire::{HostId, Role};
 
@@ -59,14 +59,12 @@
 }
 
 /// Why an order or a question about a roll-out gets no answer, in an operator's words.
-fn rollout_refused(unanswered: &Unanswered, service: &str) -> Status {
+fn rollout_refused(unanswered: &CallError, service: &str) -> Status {
     match unanswered {
-        Unanswered::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
-        Unanswered::UnknownService => {
-            Status::not_found(format!("no service is called '{service}'"))
-        }
-        Unanswered::NoRollout => Status::not_found(format!("service '{service}' had no roll-out")),
-        Unanswered::UnderWay => Status::failed_precondition(format!(
+        CallError::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
+        CallError::UnknownService => Status::not_found(format!("no service is called '{service}'")),
+        CallError::NoRollout => Status::not_found(format!("service '{service}' had no roll-out")),
+        CallError::UnderWay => Status::failed_precondition(format!(
             "another roll-out of service '{service}' is under way"
         )),
         _ => undecided(),
@@ -262,11 +260,11 @@
                 let drained_halls = halls.names().map(str::to_string).collect();
                 Ok(Response::new(proto::OrderHallReply { drained_halls }))
             }
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.order_hall(forward(request)).await
             }
-            Err(Unanswered::UnknownHall) => {
+            Err(CallError::UnknownHall) => {
                 Err(Status::not_found(format!("no data hall is called '{hall}'")))
             }
             Err(_) => Err(undecided()),
@@ -281,7 +279,7 @@
         let within = Duration::from_millis(within_ms);
         match self.0.order_rollout(&service, &version, within).await {
             Ok(()) => Ok(Response::new(proto::OrderRolloutReply {})),
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.order_rollout(forward(request)).await
             }
@@ -299,7 +297,7 @@
                 let rollout = Some(view::rollout(&rollout));
                 Ok(Response::new(proto::GetRolloutReply { rollout }))
             }
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.get_rollout(forward(request)).await
             }
@@ -316,7 +314,7 @@
             .map_err(|error: InvalidFingerprint| Status::invalid_argument(error.to_string()))?;
         match self.0.release(fingerprint).await {
             Ok(()) => Ok(Response::new(proto::ReleaseReply {})),
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.release(forward(request)).await
             }
