--- a/src/control.rs
+++ b/src/control.rs
@@ -50,7 +50,7 @@
 pub use halls::HallOrder;
 pub use handle::{Handle, Leadership, NoLeader};
 pub use join::Joined;
-pub use registrations::{Heard, judge};
+pub use registrations::{RegistrationOutcome, check_registration};
 pub use serve::{Ask, Asked, ClaimAnswer, ClaimRequest, Identity};
 pub use state::{Changed, Command, Reply, State};
 
--- a/src/control/registrations.rs
+++ b/src/control/registrations.rs
@@ -10,9 +10,9 @@
 
 /// What became of what was said of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum RegistrationOutcome {
     /// It is known from now on.
-    Taken,
+    Accepted,
     /// No configuration in force names its service: nothing is sent to it, and nothing is
     /// kept of it.
     NoService,
@@ -21,32 +21,38 @@
 }
 
 /// Whether what is said of an endpoint is to be taken in.
-pub fn judge(said: &Registration, registry: &Registry, routing: Option<&Routing>) -> Heard {
+pub fn check_registration(
+    said: &Registration,
+    registry: &Registry,
+    routing: Option<&Routing>,
+) -> RegistrationOutcome {
     let known = registry.get(&said.id).filter(|known| !known.service.is_empty());
     let is_same_service = known.is_some_and(|known| known.service == said.service);
     if said.address.is_none() || is_same_service {
-        return Heard::Taken;
+        return RegistrationOutcome::Accepted;
     }
     let is_named = routing.is_none_or(|r| r.table.services.iter().any(|s| s.name == said.service));
     match known {
-        None if is_named => Heard::Taken,
-        None => Heard::NoService,
+        None if is_named => RegistrationOutcome::Accepted,
+        None => RegistrationOutcome::NoService,
         // An endpoint belongs to one service from its start to its end.
-        Some(known) if is_named && known.started_at_ms < said.started_at_ms => Heard::Taken,
-        Some(_) => Heard::OtherService,
+        Some(known) if is_named && known.started_at_ms < said.started_at_ms => {
+            RegistrationOutcome::Accepted
+        }
+        Some(_) => RegistrationOutcome::OtherService,
     }
 }
 
 impl Control {
     /// Takes in what an endpoint says of itself. Routers in reach are told at once.
     /// Any control host does so by itself: it needs no leader.
-    pub fn register(&self, registration: Registration) -> Heard {
+    pub fn register(&self, registration: Registration) -> RegistrationOutcome {
         let routing = self.documents.current();
-        let mut heard = Heard::Taken;
+        let mut heard = RegistrationOutcome::Accepted;
         // Under one lock: of two services that say they have this endpoint one is taken.
         self.registry.merge_if(registration.clone(), |registry| {
-            heard = judge(&registration, registry, routing.as_deref());
-            heard == Heard::Taken
+            heard = check_registration(&registration, registry, routing.as_deref());
+            heard == RegistrationOutcome::Accepted
         });
         heard
     }
--- a/src/control/tests/registrations.rs
+++ b/src/control/tests/registrations.rs
@@ -1,6 +1,6 @@
 //! What is taken in of what is said of endpoints.
 
-use crate::control::{Heard, judge};
+use crate::control::{RegistrationOutcome, check_registration};
 use crate::registry::{EndpointState, Origin, Registration, Registry};
 use crate::routing::{Routing, RoutingTable, ServicePool};
 
@@ -40,22 +40,33 @@
 fn nothing_is_kept_of_a_service_that_no_configuration_names() {
     let empty = Registry::default();
     let in_force = routing(&["app"]);
-    assert_eq!(judge(&said("app", 1), &empty, Some(&in_force)), Heard::Taken);
-    assert_eq!(judge(&said("other", 1), &empty, Some(&in_force)), Heard::NoService);
-    assert_eq!(judge(&said("other", 1), &empty, None), Heard::Taken, "none is in force yet");
+    assert_eq!(
+        check_registration(&said("app", 1), &empty, Some(&in_force)),
+        RegistrationOutcome::Accepted
+    );
+    assert_eq!(
+        check_registration(&said("other", 1), &empty, Some(&in_force)),
+        RegistrationOutcome::NoService
+    );
+    assert_eq!(
+        check_registration(&said("other", 1), &empty, None),
+        RegistrationOutcome::Accepted,
+        "none is in force yet"
+    );
 }
 
 #[test]
 fn an_endpoint_belongs_to_one_service_from_its_start_to_its_end() {
     let in_force = routing(&["app", "llm"]);
     let registry = known("app", 5);
-    let heard =
-        |service, started_at_ms| judge(&said(service, started_at_ms), &registry, Some(&in_force));
-    assert_eq!(heard("app", 5), Heard::Taken);
-    assert_eq!(heard("llm", 5), Heard::OtherService);
-    assert_eq!(heard("llm", 4), Heard::OtherService);
-    assert_eq!(heard("llm", 6), Heard::Taken);
-    assert_eq!(heard("other", 6), Heard::OtherService);
+    let heard = |service, started_at_ms| {
+        check_registration(&said(service, started_at_ms), &registry, Some(&in_force))
+    };
+    assert_eq!(heard("app", 5), RegistrationOutcome::Accepted);
+    assert_eq!(heard("llm", 5), RegistrationOutcome::OtherService);
+    assert_eq!(heard("llm", 4), RegistrationOutcome::OtherService);
+    assert_eq!(heard("llm", 6), RegistrationOutcome::Accepted);
+    assert_eq!(heard("other", 6), RegistrationOutcome::OtherService);
 }
 
 #[test]
@@ -63,6 +74,12 @@
     let in_force = routing(&["llm"]);
     let registry = known("app", 5);
     let leaves = Registration { state: EndpointState::Leaving, ..said("app", 5) };
-    assert_eq!(judge(&leaves, &registry, Some(&in_force)), Heard::Taken);
-    assert_eq!(judge(&Registration::gone("e"), &registry, Some(&in_force)), Heard::Taken);
+    assert_eq!(
+        check_registration(&leaves, &registry, Some(&in_force)),
+        RegistrationOutcome::Accepted
+    );
+    assert_eq!(
+        check_registration(&Registration::gone("e"), &registry, Some(&in_force)),
+        RegistrationOutcome::Accepted
+    );
 }
