--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::table::{Claim, Claimed, Settlement};
-use crate::control::{Ask, Asked, ClaimAnswer, ClaimRequest};
+use crate::control::{Asked, ClaimAction, ClaimAnswer, ClaimRequest};
 use crate::peer::Peers;
 use crate::wire::{BatchWriter, Heartbeat, HostId, Open, Role};
 
@@ -20,7 +20,7 @@
 
 struct Asking {
     claim: Claim,
-    ask: Ask,
+    ask: ClaimAction,
     until: tokio::time::Instant,
     reply: oneshot::Sender<Asked>,
 }
@@ -40,7 +40,7 @@
 
     /// How a key stands, without claiming it; none when nobody says in time.
     pub async fn look(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
-        match self.ask(claim, Ask::Look, limit).await? {
+        match self.ask(claim, ClaimAction::Lookup, limit).await? {
             Asked::Claimed(claimed) => Some(claimed),
             _ => None,
         }
@@ -49,7 +49,7 @@
     /// Claims a key. None when the claim was not decided in time; it is then
     /// given back in the background, and its call must not run.
     pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
-        match self.ask(claim.clone(), Ask::Claim, limit).await {
+        match self.ask(claim.clone(), ClaimAction::Claim, limit).await {
             Some(Asked::Claimed(claimed)) => Some(claimed),
             _ => {
                 drop(self.settle(claim, Settlement::NotRun));
@@ -69,13 +69,13 @@
     fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<Asked> {
         let (reply, taken) = oneshot::channel();
         let until = tokio::time::Instant::now() + SETTLE_FOR;
-        let ask = Ask::Settle(settlement);
+        let ask = ClaimAction::Settle(settlement);
         // The task runs as long as the process.
         let _ = self.0.send(Asking { claim, ask, until, reply });
         taken
     }
 
-    async fn ask(&self, claim: Claim, ask: Ask, limit: Duration) -> Option<Asked> {
+    async fn ask(&self, claim: Claim, ask: ClaimAction, limit: Duration) -> Option<Asked> {
         let (reply, receiver) = oneshot::channel();
         let until = tokio::time::Instant::now() + limit;
         self.0.send(Asking { claim, ask, until, reply }).ok()?;
@@ -237,6 +237,6 @@
 
 impl Asking {
     fn request(&self, number: u64) -> ClaimRequest {
-        ClaimRequest { number, claim: self.claim.clone(), ask: self.ask.clone() }
+        ClaimRequest { number, claim: self.claim.clone(), action: self.ask.clone() }
     }
 }
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -32,9 +32,9 @@
 
 /// What a router asks about a run-once call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum ClaimAction {
     /// How the key stands, without claiming it; the answer may lag.
-    Look,
+    Lookup,
     /// To claim it.
     Claim,
     /// To settle it.
@@ -49,7 +49,7 @@
     /// The claim.
     pub claim: Claim,
     /// What is asked.
-    pub ask: Ask,
+    pub action: ClaimAction,
 }
 
 /// What a claim request gets.
@@ -142,9 +142,9 @@
 
 async fn answer(control: &Control, request: ClaimRequest) -> Asked {
     let at_ms = epoch_ms();
-    let ClaimRequest { claim, ask, .. } = request;
-    let command = match ask {
-        Ask::Look => {
+    let ClaimRequest { claim, action, .. } = request;
+    let command = match action {
+        ClaimAction::Lookup => {
             let look = control.handle.look(move |state| state.claims().look(&claim)).await;
             return match look {
                 Ok(Some(claimed)) => Asked::Claimed(claimed),
@@ -152,8 +152,8 @@
                 Err(no_leader) => elsewhere(no_leader),
             };
         }
-        Ask::Claim => Command::Claim { at_ms, claim },
-        Ask::Settle(settlement) => Command::Settle { at_ms, claim, settlement },
+        ClaimAction::Claim => Command::Claim { at_ms, claim },
+        ClaimAction::Settle(settlement) => Command::Settle { at_ms, claim, settlement },
     };
     match control.handle.propose(command).await {
         Ok(Reply::Claimed(claimed)) => Asked::Claimed(claimed),
