--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::table::{Claim, Claimed, Settlement};
-use crate::control::{Asked, ClaimAction, ClaimAnswer, ClaimRequest};
+use crate::control::{ClaimAction, ClaimAnswer, ClaimOutcome, ClaimRequest};
 use crate::peer::Peers;
 use crate::wire::{BatchWriter, Heartbeat, HostId, Open, Role};
 
@@ -22,7 +22,7 @@
     claim: Claim,
     ask: ClaimAction,
     until: tokio::time::Instant,
-    reply: oneshot::Sender<Asked>,
+    reply: oneshot::Sender<ClaimOutcome>,
 }
 
 /// Asks the leader about claims; asks again where an answer was lost.
@@ -41,7 +41,7 @@
     /// How a key stands, without claiming it; none when nobody says in time.
     pub async fn look(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
         match self.ask(claim, ClaimAction::Lookup, limit).await? {
-            Asked::Claimed(claimed) => Some(claimed),
+            ClaimOutcome::Claimed(claimed) => Some(claimed),
             _ => None,
         }
     }
@@ -50,7 +50,7 @@
     /// given back in the background, and its call must not run.
     pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<Claimed> {
         match self.ask(claim.clone(), ClaimAction::Claim, limit).await {
-            Some(Asked::Claimed(claimed)) => Some(claimed),
+            Some(ClaimOutcome::Claimed(claimed)) => Some(claimed),
             _ => {
                 drop(self.settle(claim, Settlement::NotRun));
                 None
@@ -66,7 +66,7 @@
     }
 
     /// Settles a claim in the background, until it is taken.
-    fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<Asked> {
+    fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<ClaimOutcome> {
         let (reply, taken) = oneshot::channel();
         let until = tokio::time::Instant::now() + SETTLE_FOR;
         let ask = ClaimAction::Settle(settlement);
@@ -75,7 +75,7 @@
         taken
     }
 
-    async fn ask(&self, claim: Claim, ask: ClaimAction, limit: Duration) -> Option<Asked> {
+    async fn ask(&self, claim: Claim, ask: ClaimAction, limit: Duration) -> Option<ClaimOutcome> {
         let (reply, receiver) = oneshot::channel();
         let until = tokio::time::Instant::now() + limit;
         self.0.send(Asking { claim, ask, until, reply }).ok()?;
@@ -212,21 +212,21 @@
     /// Whether the host that answered still leads.
     fn answered(&mut self, host: HostId, batch: Vec<ClaimAnswer>) -> bool {
         let mut leads = true;
-        for ClaimAnswer { number, asked } in batch {
-            match asked {
-                Asked::Elsewhere(leader) => {
+        for ClaimAnswer { number, outcome } in batch {
+            match outcome {
+                ClaimOutcome::Elsewhere(leader) => {
                     self.leader = leader;
                     leads = false;
                 }
-                Asked::Uncertain => {
+                ClaimOutcome::Uncertain => {
                     self.leader = None;
                     leads = false;
                 }
-                asked => {
+                outcome => {
                     self.leader = Some(host);
                     if let Some(asking) = self.open.remove(&number) {
                         // The asker may have left.
-                        let _ = asking.reply.send(asked);
+                        let _ = asking.reply.send(outcome);
                     }
                 }
             }
--- a/src/claim/tests/client.rs
+++ b/src/claim/tests/client.rs
@@ -8,7 +8,7 @@
 
 use super::super::{Claimed, Claims};
 use super::claim;
-use crate::control::{Asked, ClaimAnswer, ClaimRequest};
+use crate::control::{ClaimAnswer, ClaimOutcome, ClaimRequest};
 use crate::peer::Incoming;
 use crate::testing::{peer_address, start_peers, wait_until};
 use crate::wire::{Role, write_frame};
@@ -32,9 +32,9 @@
     while let Some(Incoming { mut reader, mut writer, .. }) = incoming.recv().await {
         tokio::spawn(async move {
             while let Ok(requests) = reader.next::<Vec<ClaimRequest>>().await {
-                let asked = Asked::Claimed(Claimed::Granted);
+                let outcome = ClaimOutcome::Claimed(Claimed::Granted);
                 let answer =
-                    |r: ClaimRequest| ClaimAnswer { number: r.number, asked: asked.clone() };
+                    |r: ClaimRequest| ClaimAnswer { number: r.number, outcome: outcome.clone() };
                 let answers: Vec<_> = requests.into_iter().map(answer).collect();
                 if write_frame(&mut writer, &answers).await.is_err() {
                     return;
--- a/src/control.rs
+++ b/src/control.rs
@@ -51,7 +51,7 @@
 pub use handle::{Handle, Leadership, NoLeader};
 pub use join::Joined;
 pub use registrations::{RegistrationOutcome, check_registration};
-pub use serve::{Asked, ClaimAction, ClaimAnswer, ClaimRequest, Identity};
+pub use serve::{ClaimAction, ClaimAnswer, ClaimOutcome, ClaimRequest, Identity};
 pub use state::{Changed, Command, Reply, State};
 
 /// What the parts of a control host share.
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -54,7 +54,7 @@
 
 /// What a claim request gets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Asked {
+pub enum ClaimOutcome {
     /// The claim was decided, or how it stands.
     Claimed(Claimed),
     /// Nobody holds the key.
@@ -73,7 +73,7 @@
     /// The request's number.
     pub number: u64,
     /// The answer.
-    pub asked: Asked,
+    pub outcome: ClaimOutcome,
 }
 
 pub(super) async fn take_envelopes(
@@ -132,23 +132,23 @@
             let answers = answers.clone();
             tokio::spawn(async move {
                 let number = request.number;
-                let asked = answer(&control, request).await;
+                let outcome = answer(&control, request).await;
                 // The router may have left.
-                let _ = answers.send(ClaimAnswer { number, asked }.into());
+                let _ = answers.send(ClaimAnswer { number, outcome }.into());
             });
         }
     }
 }
 
-async fn answer(control: &Control, request: ClaimRequest) -> Asked {
+async fn answer(control: &Control, request: ClaimRequest) -> ClaimOutcome {
     let at_ms = epoch_ms();
     let ClaimRequest { claim, action, .. } = request;
     let command = match action {
         ClaimAction::Lookup => {
             let look = control.handle.look(move |state| state.claims().look(&claim)).await;
             return match look {
-                Ok(Some(claimed)) => Asked::Claimed(claimed),
-                Ok(None) => Asked::Free,
+                Ok(Some(claimed)) => ClaimOutcome::Claimed(claimed),
+                Ok(None) => ClaimOutcome::Free,
                 Err(no_leader) => elsewhere(no_leader),
             };
         }
@@ -156,20 +156,20 @@
         ClaimAction::Settle(settlement) => Command::Settle { at_ms, claim, settlement },
     };
     match control.handle.propose(command).await {
-        Ok(Reply::Claimed(claimed)) => Asked::Claimed(claimed),
-        Ok(Reply::Settled) => Asked::Settled,
+        Ok(Reply::Claimed(claimed)) => ClaimOutcome::Claimed(claimed),
+        Ok(Reply::Settled) => ClaimOutcome::Settled,
         Ok(other) => {
             unexpected(&other);
-            Asked::Uncertain
+            ClaimOutcome::Uncertain
         }
         Err(no_leader) => elsewhere(no_leader),
     }
 }
 
-fn elsewhere(no_leader: NoLeader) -> Asked {
+fn elsewhere(no_leader: NoLeader) -> ClaimOutcome {
     match no_leader {
-        NoLeader::Elsewhere(host) => Asked::Elsewhere(Some(host)),
-        NoLeader::Unknown => Asked::Elsewhere(None),
-        NoLeader::Uncertain => Asked::Uncertain,
+        NoLeader::Elsewhere(host) => ClaimOutcome::Elsewhere(Some(host)),
+        NoLeader::Unknown => ClaimOutcome::Elsewhere(None),
+        NoLeader::Uncertain => ClaimOutcome::Uncertain,
     }
 }
