--- a/src/control.rs
+++ b/src/control.rs
@@ -1,10 +1,10 @@
 //! The control process: one of the hosts that agree on the configuration.
 
+pub(crate) mod bootstrap;
 mod courier;
 mod documents;
 mod driver;
 mod format;
-pub(crate) mod found;
 mod halls;
 mod handle;
 mod join;
@@ -170,7 +170,7 @@
         stop: stop.clone(),
     });
     tokio::spawn(take_connections(control.clone(), incoming));
-    tokio::spawn(found::found(control.clone()));
+    tokio::spawn(bootstrap::bootstrap(control.clone()));
     tokio::spawn(spread::follow_version(control.configs.clone(), control.peers.clone()));
     tokio::spawn(rollout_controller::run(control.clone()));
     tokio::spawn(quarantine_controller::run(control.clone()));
--- a/src/control/found.rs
+++ b/src/control/bootstrap.rs
@@ -16,7 +16,7 @@
 const PAUSE: Duration = Duration::from_millis(300);
 
 /// Founds the group when this host is the first founder and all are empty.
-pub(super) async fn found(control: Arc<Control>) {
+pub(super) async fn bootstrap(control: Arc<Control>) {
     let (founders, addresses) = control.settings.founding();
     if founders.iter().min() != Some(&control.peers.me) {
         return;
@@ -33,7 +33,7 @@
             return;
         }
         if let Some(members) = complete(&founders, &identities) {
-            control.handle.found(members).await;
+            control.handle.bootstrap(members).await;
             return;
         }
         log::info!("control: {} of {} founders are here", identities.len(), founders.len());
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -182,7 +182,7 @@
             }
             Event::Propose(command, reply) => self.propose(vec![(command, reply)]),
             Event::Read(reply) => self.read(reply),
-            Event::Found(members) => self.found(members),
+            Event::Bootstrap(members) => self.bootstrap(members),
             Event::Let { newcomer, reply } => self.let_in(newcomer, reply),
             Event::Join { newcomer, reply } => self.join(newcomer, reply),
             Event::Status(reply) => {
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -9,7 +9,7 @@
 use crate::error::Result;
 
 impl Driver {
-    pub(super) fn found(&mut self, members: Vec<GroupMember>) -> Result<()> {
+    pub(super) fn bootstrap(&mut self, members: Vec<GroupMember>) -> Result<()> {
         if self.replica.is_founded() {
             return Ok(());
         }
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -26,7 +26,7 @@
     Receive { envelope: Envelope, host: HostId, peer: SocketAddr },
     Propose(Command, ReplyTo),
     Read(oneshot::Sender<Result<(), NoLeader>>),
-    Found(Vec<GroupMember>),
+    Bootstrap(Vec<GroupMember>),
     Let { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
     Join { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
     Status(oneshot::Sender<DriverStatus>),
@@ -108,8 +108,8 @@
     }
 
     /// Founds a new group, unless this store belongs to one.
-    pub async fn found(&self, members: Vec<GroupMember>) {
-        self.send(Event::Found(members)).await;
+    pub async fn bootstrap(&self, members: Vec<GroupMember>) {
+        self.send(Event::Bootstrap(members)).await;
     }
 
     /// Lets a store into the group; false while another change is under way.
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -231,7 +231,7 @@
         let Some(member) = view.get(host).filter(|m| m.role == Role::Control) else {
             return Err(Status::not_found(format!("no live control host {host}")));
         };
-        let identity = crate::control::found::identify(&self.0, member.peer).await;
+        let identity = crate::control::bootstrap::identify(&self.0, member.peer).await;
         let identity = identity.map_err(|e| Status::unavailable(e.to_string()))?;
         let newcomer = GroupMember {
             store: identity.store,
