--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -183,7 +183,7 @@
             Event::Propose(command, reply) => self.propose(vec![(command, reply)]),
             Event::Read(reply) => self.read(reply),
             Event::Bootstrap(members) => self.bootstrap(members),
-            Event::Let { newcomer, reply } => self.let_in(newcomer, reply),
+            Event::AddMember { newcomer, reply } => self.add_member(newcomer, reply),
             Event::Join { newcomer, reply } => self.join(newcomer, reply),
             Event::Status(reply) => {
                 let status = DriverStatus {
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -36,7 +36,7 @@
         Ok(())
     }
 
-    pub(super) fn let_in(
+    pub(super) fn add_member(
         &mut self,
         newcomer: GroupMember,
         reply: oneshot::Sender<Result<bool, NoLeader>>,
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -27,7 +27,7 @@
     Propose(Command, ReplyTo),
     Read(oneshot::Sender<Result<(), NoLeader>>),
     Bootstrap(Vec<GroupMember>),
-    Let { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
+    AddMember { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
     Join { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
     Status(oneshot::Sender<DriverStatus>),
     Look(Box<dyn FnOnce(&State) + Send>, oneshot::Sender<NoLeader>),
@@ -113,9 +113,9 @@
     }
 
     /// Lets a store into the group; false while another change is under way.
-    pub async fn let_in(&self, newcomer: GroupMember) -> Result<bool, NoLeader> {
+    pub async fn add_member(&self, newcomer: GroupMember) -> Result<bool, NoLeader> {
         let (reply, receiver) = oneshot::channel();
-        self.send(Event::Let { newcomer, reply }).await;
+        self.send(Event::AddMember { newcomer, reply }).await;
         receiver.await.unwrap_or(Err(NoLeader::Uncertain))
     }
 
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -240,7 +240,7 @@
             voter: false,
             replaces,
         };
-        let (accepted, message) = match self.0.handle.let_in(newcomer).await {
+        let (accepted, message) = match self.0.handle.add_member(newcomer).await {
             Ok(true) => (true, format!("store {} counts once it has caught up", identity.store)),
             Ok(false) => (false, "another change of the group is under way".to_string()),
             Err(NoLeader::Elsewhere(host)) => (false, format!("ask host {host}, which leads")),
