--- a/src/control.rs
+++ b/src/control.rs
@@ -52,7 +52,7 @@
 pub use join::Joined;
 pub use registrations::{RegistrationOutcome, check_registration};
 pub use serve::{ClaimAction, ClaimAnswer, ClaimOutcome, ClaimRequest, Identity};
-pub use state::{Changed, Command, Reply, State};
+pub use state::{ChangeOutcome, Command, Reply, State};
 
 /// What the parts of a control host share.
 #[derive(Debug)]
--- a/src/control/legacy.rs
+++ b/src/control/legacy.rs
@@ -7,7 +7,7 @@
 
 use serde::Deserialize;
 
-use super::state::{self, Changed};
+use super::state::{self, ChangeOutcome};
 use crate::claim::{Claim, Settlement, Table};
 use crate::config::{Change, History};
 use crate::quarantine::{Quarantines, Verdict};
@@ -28,7 +28,7 @@
 #[derive(Deserialize)]
 struct Changes {
     history: History,
-    operations: HashMap<String, Changed>,
+    operations: HashMap<String, ChangeOutcome>,
     operations_by_age: VecDeque<String>,
     claims: Table,
 }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -59,7 +59,7 @@
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Changed {
+pub enum ChangeOutcome {
     /// It is this version.
     Accepted(u64),
     /// Another came first; this version stands.
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A change was decided.
-    Changed(Changed),
+    Changed(ChangeOutcome),
     /// A claim was decided.
     Claimed(Claimed),
     /// A settlement was taken.
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     pub(super) history: History,
-    pub(super) operations: HashMap<String, Changed>,
+    pub(super) operations: HashMap<String, ChangeOutcome>,
     pub(super) operations_by_age: VecDeque<String>,
     pub(super) claims: Table,
     pub(super) document: Option<Arc<Document>>,
@@ -199,16 +199,21 @@
     }
 
     /// An operation's first answer again; otherwise the change is decided now.
-    fn change(&mut self, operation: String, base: Option<u64>, changes: Vec<Change>) -> Changed {
+    fn change(
+        &mut self,
+        operation: String,
+        base: Option<u64>,
+        changes: Vec<Change>,
+    ) -> ChangeOutcome {
         if let Some(first) = self.operations.get(&operation) {
             return first.clone();
         }
         let version = self.history.config().version;
         let changed = match base {
-            Some(base) if base != version => Changed::Conflict(version),
+            Some(base) if base != version => ChangeOutcome::Conflict(version),
             _ => match self.history.advance(changes) {
-                Ok(()) => Changed::Accepted(version + 1),
-                Err(refusal) => Changed::Refused(refusal),
+                Ok(()) => ChangeOutcome::Accepted(version + 1),
+                Err(refusal) => ChangeOutcome::Refused(refusal),
             },
         };
         self.operations.insert(operation.clone(), changed.clone());
@@ -222,7 +227,7 @@
     }
 
     /// The answer that an operation got, if it is known.
-    pub fn operation(&self, operation: &str) -> Option<&Changed> {
+    pub fn operation(&self, operation: &str) -> Option<&ChangeOutcome> {
         self.operations.get(operation)
     }
 }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -22,14 +22,14 @@
 }
 
 fn accepted(version: u64) -> Reply {
-    Reply::Changed(Changed::Accepted(version))
+    Reply::Changed(ChangeOutcome::Accepted(version))
 }
 
 #[test]
 fn of_two_racing_operators_one_wins_and_the_other_is_told() {
     let mut state = State::default();
     assert_eq!(state.apply(change("a", Some(0), "x")), accepted(1));
-    assert_eq!(state.apply(change("b", Some(0), "y")), Reply::Changed(Changed::Conflict(1)));
+    assert_eq!(state.apply(change("b", Some(0), "y")), Reply::Changed(ChangeOutcome::Conflict(1)));
     assert!(state.history().config().customer_id("y").is_none());
 }
 
@@ -50,7 +50,7 @@
         base: None,
         changes: vec![Change::PutCustomer(Customer { share: 0, ..customer("x") })],
     };
-    let Reply::Changed(Changed::Refused(refusal)) = state.apply(wrong) else {
+    let Reply::Changed(ChangeOutcome::Refused(refusal)) = state.apply(wrong) else {
         panic!("not refused");
     };
     assert_eq!(refusal.field, "customers.x.share");
@@ -73,7 +73,7 @@
             let first = outcomes.entry(operation).or_insert_with(|| reply.clone());
             prop_assert_eq!(first, &reply);
         }
-        let wins = outcomes.values().filter(|r| matches!(r, Reply::Changed(Changed::Accepted(_))));
+        let wins = outcomes.values().filter(|r| matches!(r, Reply::Changed(ChangeOutcome::Accepted(_))));
         prop_assert_eq!(state.history().config().version, wins.count() as u64);
     }
 
--- a/src/control/tests/format.rs
+++ b/src/control/tests/format.rs
@@ -22,7 +22,7 @@
 #[derive(Serialize)]
 struct OldState {
     history: History,
-    operations: HashMap<String, Changed>,
+    operations: HashMap<String, ChangeOutcome>,
     operations_by_age: VecDeque<String>,
     claims: Table,
     document: Option<Arc<OldDocument<OldRoute, OldCustomer>>>,
@@ -33,7 +33,7 @@
 #[derive(Serialize)]
 struct StateBefore {
     history: History,
-    operations: HashMap<String, Changed>,
+    operations: HashMap<String, ChangeOutcome>,
     operations_by_age: VecDeque<String>,
     claims: Table,
     document: Option<Arc<OldDocument<Route, CustomerKeys>>>,
@@ -46,7 +46,7 @@
 #[derive(Serialize)]
 struct StateWithoutQuarantine {
     history: History,
-    operations: HashMap<String, Changed>,
+    operations: HashMap<String, ChangeOutcome>,
     operations_by_age: VecDeque<String>,
     claims: Table,
     document: Option<Arc<OldDocument<Route, CustomerKeys>>>,
@@ -247,7 +247,7 @@
     assert!(state.history().config().customer_id("x").is_some());
     assert_eq!(state.history().deltas().count(), 1);
     assert_eq!(state.apply(change("a", None, "again")), accepted(1), "its first answer");
-    assert_eq!(state.operation("b"), Some(&Changed::Conflict(1)));
+    assert_eq!(state.operation("b"), Some(&ChangeOutcome::Conflict(1)));
     let other = Claim { attempt: Attempt { seq: 9, ..claim().attempt }, ..claim() };
     let held = state.apply(Command::Claim { at_ms: 2, claim: other });
     assert_eq!(held, Reply::Claimed(Claimed::Running(claim().attempt)));
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -2,7 +2,7 @@
 
 use super::proto;
 use crate::config::{Change, Document};
-use crate::control::Changed;
+use crate::control::ChangeOutcome;
 
 /// Longest operation name.
 const MAX_OPERATION: usize = 64;
@@ -14,18 +14,18 @@
 }
 
 /// What an operator is told of a change.
-pub(super) fn reply(changed: Changed) -> proto::ApplyReply {
+pub(super) fn reply(changed: ChangeOutcome) -> proto::ApplyReply {
     use proto::apply_reply::Result;
     match changed {
-        Changed::Accepted(version) => {
+        ChangeOutcome::Accepted(version) => {
             let result = Result::Accepted.into();
             proto::ApplyReply { result, version, ..Default::default() }
         }
-        Changed::Conflict(version) => {
+        ChangeOutcome::Conflict(version) => {
             let result = Result::Conflict.into();
             proto::ApplyReply { result, version, ..Default::default() }
         }
-        Changed::Refused(refusal) => proto::ApplyReply {
+        ChangeOutcome::Refused(refusal) => proto::ApplyReply {
             result: Result::Refused.into(),
             version: 0,
             field: refusal.field,
