--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -28,7 +28,7 @@
             None => return,
         }
         let identities = identify_all(&control, &addresses).await;
-        if identities.iter().any(|i| i.founded) {
+        if identities.iter().any(|i| i.is_bootstrapped) {
             log::warn!("control: the group exists; this store waits to be let in");
             return;
         }
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -66,7 +66,7 @@
     /// Whether this store leads.
     pub leads: bool,
     /// Whether this store belongs to a group.
-    pub founded: bool,
+    pub is_bootstrapped: bool,
     /// The hosts of the group, with their peer addresses.
     pub hosts: Vec<(HostId, SocketAddr)>,
 }
@@ -80,7 +80,7 @@
             leader: leader.map(|m| m.host),
             has_caught_up: replica.has_caught_up(),
             leads: replica.role() == Role::Leader,
-            founded: replica.is_founded(),
+            is_bootstrapped: replica.is_founded(),
             hosts: members.iter().map(|m| (m.host, m.peer)).collect(),
         }
     }
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -27,7 +27,7 @@
     /// Its store.
     pub store: StoreId,
     /// Whether the store belongs to a group.
-    pub founded: bool,
+    pub is_bootstrapped: bool,
 }
 
 /// What a router asks about a run-once call.
@@ -102,7 +102,7 @@
         host: control.peers.me,
         peer: control.settings.host.advertised(),
         store: control.handle.store,
-        founded: status.is_some_and(|s| !s.replica.members.is_empty()),
+        is_bootstrapped: status.is_some_and(|s| !s.replica.members.is_empty()),
     }
 }
 
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -61,7 +61,7 @@
         leader: Some(peers.me),
         has_caught_up: true,
         leads: true,
-        founded: true,
+        is_bootstrapped: true,
         hosts: vec![(peers.me, peers.address)],
     };
     Publication {
