--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,4 +1,5 @@
-//! The state that control hosts agree on: configuration, operations, claims.
+//! The replicated state of the control group: configuration, operations, claims, routing
+//! document, drained halls, roll-outs and quarantined requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -12,85 +13,86 @@
 use crate::rollout::{Order, OrderOutcome, Rollouts, Step};
 use crate::routing::Document;
 
-/// Operations whose answers are kept for resends.
-pub const KEPT_OPERATIONS: usize = 10_000;
+/// How many operations keep their outcome, so that a resent operation gets the same answer.
+pub const MAX_KEPT_OPERATIONS: usize = 10_000;
 
 /// A command in the agreed log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// Change the configuration.
     Change {
-        /// Names the change.
+        /// Unique id of the operation; a resent operation has the same id.
         operation: String,
-        /// The version it builds on, if it names one.
+        /// The configuration version that the change is based on, if it names one.
         base: Option<u64>,
-        /// Its steps.
+        /// The changes, applied in this order.
         changes: Vec<Change>,
     },
-    /// Claim a key at the leader's time.
+    /// Claim the idempotency key of a run-once call.
     Claim {
-        /// Milliseconds since the epoch.
+        /// The leader's time, in milliseconds since the epoch.
         at_ms: u64,
         /// The claim.
         claim: Claim,
     },
     /// Settle a claim.
     Settle {
-        /// Milliseconds since the epoch.
+        /// The leader's time, in milliseconds since the epoch.
         at_ms: u64,
         /// The claim.
         claim: Claim,
-        /// How it ended.
+        /// How the call ended.
         settlement: Settlement,
     },
-    /// Put a whole routing document in force, if its version is the highest.
+    /// Put a routing document in force, if its version is the highest so far.
     Replace(Box<Document>),
-    /// Send nothing more to the endpoints of a data hall.
+    /// Stop sending new requests to the endpoints of the named data hall.
     DrainHall(String),
-    /// Send to the endpoints of a data hall again.
+    /// Send requests to the endpoints of the named data hall again.
     RestoreHall(String),
-    /// Roll a release of a service out.
+    /// Roll out a release of a service.
     StartRollout(Order),
-    /// Take a roll-out one step further.
+    /// Move a roll-out to another stage.
     StepRollout(Step),
-    /// Refuse a request that crashes endpoints, or let it run again.
+    /// Refuse a request that crashes endpoints, try it again, or release it.
     Quarantine(Verdict),
 }
 
-/// What became of a change.
+/// The outcome of a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// It is this version.
+    /// The change is in force as this version.
     Accepted(u64),
-    /// Another came first; this version stands.
+    /// The change was based on another version than this one, which is in force.
     Conflict(u64),
-    /// It is wrong.
+    /// The change is invalid.
     Refused(Refusal),
 }
 
-/// What a command gets.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A change was decided.
+    /// The outcome of a configuration change.
     Changed(ChangeOutcome),
-    /// A claim was decided.
+    /// The outcome of a claim.
     Claimed(Claimed),
-    /// A settlement was taken.
+    /// The settlement is recorded.
     Settled,
-    /// This version of the routing document is in force now; either the one
-    /// sent or one at least as high.
+    /// The version of the routing document now in force: the submitted one, or one at
+    /// least as high that was in force before.
     Replaced(u64),
-    /// The data halls that are drained now.
+    /// The data halls that are now drained.
     Halls(DrainedHalls),
-    /// What became of an order to roll a release out.
+    /// The outcome of an order to roll out a release.
     Rollout(OrderOutcome),
-    /// The step of a roll-out was taken, or was out of date.
+    /// The step of a roll-out was applied, or ignored because it was out of date.
     Stepped,
-    /// The verdict on a request was taken, or was out of date.
+    /// The verdict on a request was applied, or ignored because it was out of date.
     Quarantined,
 }
 
-/// The agreed state. Applying a command is deterministic.
+/// The replicated state. Applying a command is deterministic, so that all control hosts that
+/// apply the same log hold the same state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct State {
     pub(super) history: History,
@@ -109,7 +111,7 @@
         &self.history
     }
 
-    /// The claims.
+    /// The claims of run-once calls.
     pub fn claims(&self) -> &Table {
         &self.claims
     }
@@ -124,18 +126,19 @@
         &self.drained
     }
 
-    /// The roll-outs that operators have ordered.
+    /// The newest roll-out of each service.
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
 
-    /// The requests that crash endpoints.
+    /// The requests in quarantine because they crash endpoints.
     pub fn quarantines(&self) -> &Quarantines {
         &self.quarantines
     }
 
-    /// Numbers that rise with what is published: the configuration, the routing document,
-    /// the drained halls, the roll-outs and the requests that crash endpoints.
+    /// Versions of the published parts, each of which rises when its part changes: the
+    /// configuration, the routing document, the drained halls, the roll-outs and the
+    /// quarantined requests.
     pub fn versions(&self) -> [u64; 5] {
         let configuration = self.history.config().version;
         let (drained, rollouts) = (self.drained.revision(), self.rollouts.revision());
@@ -143,23 +146,23 @@
         [configuration, self.document_version(), drained, rollouts, quarantines]
     }
 
-    /// The routing document's version; 0 while there is none.
+    /// The version of the routing document; 0 before the first document.
     pub fn document_version(&self) -> u64 {
         self.document.as_ref().map_or(0, |d| d.table.version)
     }
 
-    /// Applies a command.
+    /// Applies one command of the log and returns its result.
     pub fn apply(&mut self, command: Command) -> Reply {
         match command {
             Command::Change { operation, base, changes } => {
-                Reply::Changed(self.change(operation, base, changes))
+                Reply::Changed(self.apply_change(operation, base, changes))
             }
             Command::Claim { at_ms, claim } => Reply::Claimed(self.claims.claim(at_ms, &claim)),
             Command::Settle { at_ms, claim, settlement } => {
                 self.claims.settle(at_ms, &claim, settlement);
                 Reply::Settled
             }
-            Command::Replace(document) => Reply::Replaced(self.replace(*document)),
+            Command::Replace(document) => Reply::Replaced(self.replace_document(*document)),
             Command::DrainHall(hall) => {
                 self.drained.drain(&hall);
                 Reply::Halls(self.drained.clone())
@@ -180,9 +183,9 @@
         }
     }
 
-    /// The document with the highest version prevails; a resent one changes
-    /// nothing.
-    fn replace(&mut self, document: Document) -> u64 {
+    /// Puts a document in force if its version is higher than the current one, so that a
+    /// resent document changes nothing. Returns the version in force.
+    fn replace_document(&mut self, document: Document) -> u64 {
         if self.document.is_none() || document.table.version > self.document_version() {
             self.document = Some(Arc::new(document));
         }
@@ -198,8 +201,9 @@
         }
     }
 
-    /// An operation's first answer again; otherwise the change is decided now.
-    fn change(
+    /// Applies a change, or returns the recorded outcome where its operation was already
+    /// applied.
+    fn apply_change(
         &mut self,
         operation: String,
         base: Option<u64>,
@@ -209,24 +213,24 @@
             return first.clone();
         }
         let version = self.history.config().version;
-        let changed = match base {
+        let outcome = match base {
             Some(base) if base != version => ChangeOutcome::Conflict(version),
             _ => match self.history.advance(changes) {
                 Ok(()) => ChangeOutcome::Accepted(version + 1),
                 Err(refusal) => ChangeOutcome::Refused(refusal),
             },
         };
-        self.operations.insert(operation.clone(), changed.clone());
+        self.operations.insert(operation.clone(), outcome.clone());
         self.operations_by_age.push_back(operation);
-        if self.operations_by_age.len() > KEPT_OPERATIONS
+        if self.operations_by_age.len() > MAX_KEPT_OPERATIONS
             && let Some(oldest) = self.operations_by_age.pop_front()
         {
             self.operations.remove(&oldest);
         }
-        changed
+        outcome
     }
 
-    /// The answer that an operation got, if it is known.
+    /// The outcome of an operation; none for an unknown one, or one too old to be kept.
     pub fn operation(&self, operation: &str) -> Option<&ChangeOutcome> {
         self.operations.get(operation)
     }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+fn of_two_concurrent_changes_one_is_accepted_and_the_other_conflicts() {
     let mut state = State::default();
     assert_eq!(state.apply(change("a", Some(0), "x")), accepted(1));
     assert_eq!(state.apply(change("b", Some(0), "y")), Reply::Changed(ChangeOutcome::Conflict(1)));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_resent_change_gets_its_first_answer_and_is_not_applied_again() {
+fn a_resent_change_gets_its_recorded_outcome_and_is_not_applied_again() {
     let mut state = State::default();
     state.apply(change("a", Some(0), "x"));
     state.apply(change("b", Some(1), "y"));
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn a_wrong_change_is_refused_with_field_and_remedy() {
+fn an_invalid_change_is_refused_with_its_field() {
     let mut state = State::default();
-    let wrong = Command::Change {
+    let invalid = Command::Change {
         operation: "a".into(),
         base: None,
         changes: vec![Change::PutCustomer(Customer { share: 0, ..customer("x") })],
     };
-    let Reply::Changed(ChangeOutcome::Refused(refusal)) = state.apply(wrong) else {
+    let Reply::Changed(ChangeOutcome::Refused(refusal)) = state.apply(invalid) else {
         panic!("not refused");
     };
     assert_eq!(refusal.field, "customers.x.share");
@@ -60,8 +60,8 @@
 proptest! {
     #![proptest_config(crate::testing::property(128))]
 
-    /// However operations are doubled and resent, each has one outcome, and the
-    /// version counts the accepted ones.
+    /// Resent operations keep the outcome of their first attempt, and the version is the number
+    /// of accepted ones.
     #[test]
     fn each_operation_has_one_outcome(
         sends in proptest::collection::vec((0u8..12, proptest::option::of(0u64..6)), 0..60),
@@ -73,11 +73,13 @@
             let first = outcomes.entry(operation).or_insert_with(|| reply.clone());
             prop_assert_eq!(first, &reply);
         }
-        let wins = outcomes.values().filter(|r| matches!(r, Reply::Changed(ChangeOutcome::Accepted(_))));
-        prop_assert_eq!(state.history().config().version, wins.count() as u64);
+        let accepted_outcomes = outcomes
+            .values()
+            .filter(|r| matches!(r, Reply::Changed(ChangeOutcome::Accepted(_))));
+        prop_assert_eq!(state.history().config().version, accepted_outcomes.count() as u64);
     }
 
-    /// A state restored from a snapshot decides as the original would.
+    /// A state restored from a snapshot applies commands with the same results as the original.
     #[test]
     fn a_snapshot_restores_the_state(count in 0u64..30) {
         let mut state = State::default();
@@ -93,23 +95,23 @@
 }
 
 #[test]
-fn drained_halls_are_part_of_a_snapshot_and_orders_given_twice_change_nothing() {
+fn drained_halls_are_part_of_a_snapshot_and_repeated_orders_change_nothing() {
     let mut state = State::default();
     let drain = || Command::DrainHall("a".into());
-    let Reply::Halls(first) = state.apply(drain()) else { panic!("an order about a hall") };
+    let Reply::Halls(first) = state.apply(drain()) else { panic!("not the reply to a hall order") };
     assert!(first.contains("a"));
     let versions = state.versions();
     assert_eq!(state.apply(drain()), Reply::Halls(first.clone()));
     assert_eq!(state.apply(Command::RestoreHall("b".into())), Reply::Halls(first.clone()));
-    assert_eq!(state.versions(), versions, "nothing is told again");
+    assert_eq!(state.versions(), versions, "nothing is published again");
     let snapshot = postcard::to_stdvec(&state).unwrap();
     let mut restored: State = postcard::from_bytes(&snapshot).unwrap();
     assert_eq!(restored.drained(), &first);
     let Reply::Halls(back) = restored.apply(Command::RestoreHall("a".into())) else {
-        panic!("an order about a hall")
+        panic!("not the reply to a hall order")
     };
     assert!(!back.contains("a"));
-    assert!(back.revision() > first.revision(), "the newer order prevails everywhere");
+    assert!(back.revision() > first.revision(), "the newer order prevails on every host");
 }
 
 fn order(service: &str, version: &str) -> Command {
@@ -121,7 +123,7 @@
     Command::StepRollout(Step { service: "llm".into(), number, stage, at_ms: 0 })
 }
 
-/// A state in which there are two services.
+/// A state with the services `llm` and `app`.
 fn with_services() -> State {
     let service = |name: &str| ServicePool {
         name: name.into(),
@@ -146,7 +148,7 @@
 }
 
 #[test]
-fn two_services_are_rolled_out_at_a_time() {
+fn two_services_can_have_roll_outs_at_the_same_time() {
     let mut state = with_services();
     assert_eq!(state.apply(order("llm", "v2")), Reply::Rollout(OrderOutcome::Taken));
     assert_eq!(state.apply(order("app", "v5")), Reply::Rollout(OrderOutcome::Taken));
@@ -171,12 +173,12 @@
 proptest! {
     #![proptest_config(crate::testing::property(128))]
 
-    /// Hosts that apply the same log agree on roll-outs, also where one begins with a
+    /// Hosts that apply the same log have the same roll-outs, also when one of them starts from a
     /// snapshot.
     #[test]
     fn roll_outs_follow_from_the_log_alone(
         log in proptest::collection::vec((0u8..3, 0u8..3, 0u64..6, 0u64..40_000), 0..40),
-        cut in 0usize..40,
+        snapshot_at in 0usize..40,
     ) {
         let command = |(kind, which, number, at_ms): &(u8, u8, u64, u64)| {
             let service = if which % 2 == 0 { "llm" } else { "app" }.to_string();
@@ -196,13 +198,13 @@
                 }),
             }
         };
-        let (mut one, mut other) = (with_services(), with_services());
+        let (mut original, mut restored) = (with_services(), with_services());
         for (index, entry) in log.iter().enumerate() {
-            if index == cut {
-                other = postcard::from_bytes(&postcard::to_stdvec(&other).unwrap()).unwrap();
+            if index == snapshot_at {
+                restored = postcard::from_bytes(&postcard::to_stdvec(&restored).unwrap()).unwrap();
             }
-            prop_assert_eq!(one.apply(command(entry)), other.apply(command(entry)));
+            prop_assert_eq!(original.apply(command(entry)), restored.apply(command(entry)));
         }
-        prop_assert_eq!(one.rollouts(), other.rollouts());
+        prop_assert_eq!(original.rollouts(), restored.rollouts());
     }
 }
