--- a/src/control/format.rs
+++ b/src/control/format.rs
@@ -1,5 +1,5 @@
-//! How the agreed state and agreed commands are written: the number of their format
-//! stands in front, so that what another release wrote is told apart and never misread.
+//! Encodes and decodes the agreed state and agreed commands. A format number comes first, so
+//! that data of another release is recognized and never misread.
 
 use postcard::Error as Codec;
 use serde::de::DeserializeOwned;
@@ -8,62 +8,65 @@
 use super::state::{Command, State};
 use crate::error::{Error, Result};
 
-/// The format that this release writes. It rises with every change of what the state or
-/// a command holds. Commands without a format begin with their kind's number, far below.
+/// The format that this release writes. It is raised with every change to the contents of the
+/// state or of a command. Commands of the first release have no format number and begin with
+/// the index of their variant, which is below `MIN_FORMAT`.
 const FORMAT: u8 = 0x83;
-/// What the release before wrote.
-const FORMAT_BEFORE: u8 = 0x82;
-/// What the release before that wrote. Its commands are all among those of the one before.
+/// The format of the previous release, whose services had no health path.
+const FORMAT_WITHOUT_HEALTH_PATH: u8 = 0x82;
+/// The format of the release before that, which had no quarantine either. Its commands are a
+/// subset of those of the previous release.
 const FORMAT_WITHOUT_QUARANTINE: u8 = 0x81;
-/// The lowest byte that can only be a format.
-const LOWEST_FORMAT: u8 = 0x80;
-/// Stands before the format of a state. A state without one begins with a number in at
-/// most ten bytes, which these nine and a format after them cannot be.
-const MARK: [u8; 9] = [0xff; 9];
+/// The lowest format number; a lower first byte of a command is the index of its variant.
+const MIN_FORMAT: u8 = 0x80;
+/// Precedes the format number of a state. A state without a format number begins with a
+/// variable-length integer of at most ten bytes, which cannot consist of these nine bytes and a
+/// format number.
+const STATE_PREFIX: [u8; 9] = [0xff; 9];
 
-/// A state as snapshots hold it.
+/// Encodes a state for a snapshot.
 pub fn encode_state(state: &State) -> Result<Vec<u8>> {
-    encode(&(MARK, FORMAT, state))
+    encode(&(STATE_PREFIX, FORMAT, state))
 }
 
-/// The state in a snapshot at `index`; nothing agreed yet where the snapshot is empty.
+/// Decodes the state in the snapshot at entry `index`. An empty snapshot is the initial state.
 pub fn decode_state(data: &[u8], index: u64) -> Result<State> {
     if data.is_empty() {
         return Ok(State::default());
     }
-    let read = match data.strip_prefix(&MARK) {
-        Some(&[FORMAT_BEFORE, ref before @ ..]) => {
-            whole(before).map(legacy::StateBefore::into_today).map_err(Cause::Codec)
-        }
-        Some(&[FORMAT_WITHOUT_QUARANTINE, ref before @ ..]) => {
-            whole(before).map(legacy::StateWithoutQuarantine::into_today).map_err(Cause::Codec)
-        }
+    let decoded = match data.strip_prefix(&STATE_PREFIX) {
+        Some(&[FORMAT_WITHOUT_HEALTH_PATH, ref state @ ..]) => decode_all(state)
+            .map(legacy::StateWithoutHealthPath::into_current)
+            .map_err(Cause::Codec),
+        Some(&[FORMAT_WITHOUT_QUARANTINE, ref state @ ..]) => decode_all(state)
+            .map(legacy::StateWithoutQuarantine::into_current)
+            .map_err(Cause::Codec),
         Some(formatted) => decode(formatted),
-        None => whole(data).map(legacy::State::into_today).map_err(Cause::Codec),
+        None => decode_all(data).map(legacy::UnformattedState::into_current).map_err(Cause::Codec),
     };
-    read.map_err(|cause| unreadable("the snapshot", index, &cause))
+    decoded.map_err(|cause| unreadable("the snapshot", index, &cause))
 }
 
-/// A command as the log holds it.
+/// Encodes a command for the log.
 pub fn encode_command(command: &Command) -> Result<Vec<u8>> {
     encode(&(FORMAT, command))
 }
 
-/// The command in the log at `index`.
+/// Decodes the command in the log at entry `index`.
 pub fn decode_command(data: &[u8], index: u64) -> Result<Command> {
-    let read = match data.first() {
-        Some(&(FORMAT_BEFORE | FORMAT_WITHOUT_QUARANTINE)) => whole(&data[1..])
-            .map(legacy::Command::<legacy::DocumentBefore>::into_today)
+    let decoded = match data.first() {
+        Some(&(FORMAT_WITHOUT_HEALTH_PATH | FORMAT_WITHOUT_QUARANTINE)) => decode_all(&data[1..])
+            .map(legacy::Command::<legacy::DocumentWithoutHealthPath>::into_current)
             .map_err(Cause::Codec),
-        Some(&(LOWEST_FORMAT..)) => decode(data),
-        _ => whole(data)
-            .map(legacy::Command::<legacy::DocumentAnywhere>::into_today)
+        Some(&(MIN_FORMAT..)) => decode(data),
+        _ => decode_all(data)
+            .map(legacy::Command::<legacy::DocumentWithoutRegions>::into_current)
             .map_err(Cause::Codec),
     };
-    read.map_err(|cause| unreadable("the agreed command", index, &cause))
+    decoded.map_err(|cause| unreadable("the agreed command", index, &cause))
 }
 
-/// Why something cannot be read.
+/// Why data cannot be decoded.
 enum Cause {
     OtherFormat(u8),
     Codec(Codec),
@@ -73,17 +76,17 @@
     postcard::to_stdvec(value).map_err(|source| Error::Frame { source })
 }
 
-/// A value behind its format.
+/// Decodes a value that follows the current format number.
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Cause> {
     match bytes.split_first() {
-        Some((&FORMAT, value)) => whole(value).map_err(Cause::Codec),
+        Some((&FORMAT, value)) => decode_all(value).map_err(Cause::Codec),
         Some((&other, _)) => Err(Cause::OtherFormat(other)),
         None => Err(Cause::Codec(Codec::DeserializeUnexpectedEnd)),
     }
 }
 
-/// A value that takes up all bytes: with some left over, something else was written.
-fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Codec> {
+/// Decodes a value that takes up all bytes; bytes left over mean that the data is something else.
+fn decode_all<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Codec> {
     match postcard::take_from_bytes(bytes)? {
         (value, []) => Ok(value),
         _ => Err(Codec::DeserializeBadEncoding),
@@ -92,7 +95,7 @@
 
 fn unreadable(what: &str, index: u64, cause: &Cause) -> Error {
     let cause = match cause {
-        Cause::OtherFormat(theirs) => format!("has format {theirs}, this release reads {FORMAT}"),
+        Cause::OtherFormat(found) => format!("has format {found}, this release reads {FORMAT}"),
         Cause::Codec(error) => format!("does not decode ({error})"),
     };
     Error::Unreadable { what: format!("{what} at entry {index}"), cause }
--- a/src/control/legacy.rs
+++ b/src/control/legacy.rs
@@ -1,6 +1,9 @@
-//! The agreed state and commands as earlier releases wrote them: the one before, which knew
-//! no health paths of services, the one before that, which had no requests in quarantine
-//! either, and the one without a format.
+//! The agreed state and commands as earlier releases encoded them: the previous release, whose
+//! services had no health path; the one before, which had no quarantine either; and the first
+//! one, which wrote no format number and had neither roll-outs nor allowed regions.
+//!
+//! These types are decoded by position: the order, number and types of their fields and variants
+//! are those of the stored data.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -16,25 +19,25 @@
 use crate::rollout::{Order, Rollouts, Step};
 use crate::routing::{self, Engine, Limits, RouteKind, Target};
 
-/// The path that is asked where a document says nothing of it.
-const NO_HEALTH_PATH: &str = "/";
+/// The health path of services in documents that have none.
+const DEFAULT_HEALTH_PATH: &str = "/";
 
-/// A document whose routes and customers may be served in any region.
-pub(super) type DocumentAnywhere = Document<Route, CustomerKeys>;
-/// A document of the release before.
-pub(super) type DocumentBefore = Document<routing::Route, routing::CustomerKeys>;
+/// A document of the first release, whose routes and customers have no allowed regions.
+pub(super) type DocumentWithoutRegions = Document<Route, CustomerKeys>;
+/// A document of the two previous releases, whose services have no health path.
+pub(super) type DocumentWithoutHealthPath = Document<routing::Route, routing::CustomerKeys>;
 
-/// What all releases write first of a state.
+/// The fields with which the state of every release begins.
 #[derive(Deserialize)]
-struct Changes {
+struct CommonState {
     history: History,
     operations: HashMap<String, ChangeOutcome>,
     operations_by_age: VecDeque<String>,
     claims: Table,
 }
 
-impl Changes {
-    fn into_today(self) -> state::State {
+impl CommonState {
+    fn into_current(self) -> state::State {
         state::State {
             history: self.history,
             operations: self.operations,
@@ -49,55 +52,56 @@
 }
 
 #[derive(Deserialize)]
-pub(super) struct StateBefore {
-    before: StateWithoutQuarantine,
+pub(super) struct StateWithoutHealthPath {
+    base: StateWithoutQuarantine,
     quarantines: Quarantines,
 }
 
-impl StateBefore {
-    pub(super) fn into_today(self) -> state::State {
-        state::State { quarantines: self.quarantines, ..self.before.into_today() }
+impl StateWithoutHealthPath {
+    pub(super) fn into_current(self) -> state::State {
+        state::State { quarantines: self.quarantines, ..self.base.into_current() }
     }
 }
 
 #[derive(Deserialize)]
 pub(super) struct StateWithoutQuarantine {
-    changes: Changes,
-    document: Option<DocumentBefore>,
+    common: CommonState,
+    document: Option<DocumentWithoutHealthPath>,
     drained: DrainedHalls,
     rollouts: Rollouts,
 }
 
 impl StateWithoutQuarantine {
-    pub(super) fn into_today(self) -> state::State {
+    pub(super) fn into_current(self) -> state::State {
         state::State {
-            document: self.document.map(|document| Arc::new(document.into_today())),
+            document: self.document.map(|document| Arc::new(document.into_current())),
             drained: self.drained,
             rollouts: self.rollouts,
-            ..self.changes.into_today()
+            ..self.common.into_current()
         }
     }
 }
 
 #[derive(Deserialize)]
-pub(super) struct State {
-    changes: Changes,
-    document: Option<DocumentAnywhere>,
+pub(super) struct UnformattedState {
+    common: CommonState,
+    document: Option<DocumentWithoutRegions>,
     drained: Drained,
 }
 
-impl State {
-    pub(super) fn into_today(self) -> state::State {
+impl UnformattedState {
+    pub(super) fn into_current(self) -> state::State {
         let Drained { revision, halls } = self.drained;
         state::State {
-            document: self.document.map(|document| Arc::new(document.into_today())),
+            document: self.document.map(|document| Arc::new(document.into_current())),
             drained: DrainedHalls::without_restored(revision, halls),
-            ..self.changes.into_today()
+            ..self.common.into_current()
         }
     }
 }
 
-/// Commands of all earlier releases; the first had none of the last three.
+/// The commands of all earlier releases. The first release lacks the last three, the release
+/// without quarantine the last one.
 #[derive(Deserialize)]
 pub(super) enum Command<D> {
     Change { operation: String, base: Option<u64>, changes: Vec<Change> },
@@ -116,22 +120,22 @@
     R: Into<routing::Route>,
     C: Into<routing::CustomerKeys>,
 {
-    pub(super) fn into_today(self) -> state::Command {
-        use state::Command as Today;
+    pub(super) fn into_current(self) -> state::Command {
+        use state::Command as Current;
         match self {
             Command::Change { operation, base, changes } => {
-                Today::Change { operation, base, changes }
+                Current::Change { operation, base, changes }
             }
-            Command::Claim { at_ms, claim } => Today::Claim { at_ms, claim },
+            Command::Claim { at_ms, claim } => Current::Claim { at_ms, claim },
             Command::Settle { at_ms, claim, settlement } => {
-                Today::Settle { at_ms, claim, settlement }
+                Current::Settle { at_ms, claim, settlement }
             }
-            Command::Replace(document) => Today::Replace(Box::new(document.into_today())),
-            Command::DrainHall(hall) => Today::DrainHall(hall),
-            Command::RestoreHall(hall) => Today::RestoreHall(hall),
-            Command::StartRollout(order) => Today::StartRollout(order),
-            Command::StepRollout(step) => Today::StepRollout(step),
-            Command::Quarantine(verdict) => Today::Quarantine(verdict),
+            Command::Replace(document) => Current::Replace(Box::new(document.into_current())),
+            Command::DrainHall(hall) => Current::DrainHall(hall),
+            Command::RestoreHall(hall) => Current::RestoreHall(hall),
+            Command::StartRollout(order) => Current::StartRollout(order),
+            Command::StepRollout(step) => Current::StepRollout(step),
+            Command::Quarantine(verdict) => Current::Quarantine(verdict),
         }
     }
 }
@@ -153,12 +157,12 @@
     R: Into<routing::Route>,
     C: Into<routing::CustomerKeys>,
 {
-    fn into_today(self) -> routing::Document {
+    fn into_current(self) -> routing::Document {
         let Document { table, source } = self;
         let table = routing::RoutingTable {
             version: table.version,
             routes: table.routes.into_iter().map(Into::into).collect(),
-            services: table.services.into_iter().map(ServicePool::into_today).collect(),
+            services: table.services.into_iter().map(ServicePool::into_current).collect(),
             customers: table.customers.into_iter().map(Into::into).collect(),
             limits: table.limits,
         };
@@ -184,10 +188,10 @@
 }
 
 impl ServicePool {
-    fn into_today(self) -> routing::ServicePool {
+    fn into_current(self) -> routing::ServicePool {
         routing::ServicePool {
             name: self.name,
-            health_path: NO_HEALTH_PATH.into(),
+            health_path: DEFAULT_HEALTH_PATH.into(),
             max_connections: self.max_connections,
             engine: self.engine,
             cold_per_second: self.cold_per_second,
--- a/src/control/tests/format.rs
+++ b/src/control/tests/format.rs
@@ -1,4 +1,5 @@
-//! What earlier releases wrote: their shapes stand here once more, as they were.
+//! Decoding of stored data of earlier releases. The types of those releases are repeated here
+//! with their fields in the order in which they were encoded.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -29,9 +30,9 @@
     drained: OldDrained,
 }
 
-/// The state as the release before held it, behind its format.
+/// The state of the previous release, which follows its format number.
 #[derive(Serialize)]
-struct StateBefore {
+struct StateWithoutHealthPath {
     history: History,
     operations: HashMap<String, ChangeOutcome>,
     operations_by_age: VecDeque<String>,
@@ -42,7 +43,7 @@
     quarantines: Quarantines,
 }
 
-/// The state of the release before that.
+/// The state of the release before that one.
 #[derive(Serialize)]
 struct StateWithoutQuarantine {
     history: History,
@@ -129,7 +130,7 @@
     priority: Option<u32>,
 }
 
-/// A document as the first release held it.
+/// A document in the form of the first release.
 fn old_document(version: u64) -> OldDocument<OldRoute, OldCustomer> {
     let route = OldRoute {
         name: "r".into(),
@@ -160,15 +161,15 @@
     OldDocument { table, source: b"the text".to_vec() }
 }
 
-/// A document as the release before held it.
-fn document_before(version: u64) -> OldDocument<Route, CustomerKeys> {
+/// The same document in the form of the two previous releases.
+fn document_without_health_path(version: u64) -> OldDocument<Route, CustomerKeys> {
     let Document { table, source } = document(version);
     let RoutingTable { version, routes, customers, limits, .. } = table;
     let table = OldTable { version, routes, services: old_services(), customers, limits };
     OldDocument { table, source }
 }
 
-/// The same document as it is held today.
+/// The same document in the current form.
 pub(super) fn document(version: u64) -> Document {
     let regions = AllowedRegions::Anywhere;
     let route = Route {
@@ -207,13 +208,13 @@
     Claim { customer: CustomerId(0), key: "once".into(), fingerprint: 4, attempt }
 }
 
-/// A state with something in each of its parts, as the first release held it.
+/// An encoded state of the first release in which no part is empty.
 pub(super) fn old_state() -> Vec<u8> {
-    let mut known = State::default();
-    known.apply(change("a", Some(0), "x"));
-    known.apply(change("b", Some(0), "y"));
-    known.apply(Command::Claim { at_ms: 1, claim: claim() });
-    let State { history, operations, operations_by_age, claims, .. } = known;
+    let mut current_state = State::default();
+    current_state.apply(change("a", Some(0), "x"));
+    current_state.apply(change("b", Some(0), "y"));
+    current_state.apply(Command::Claim { at_ms: 1, claim: claim() });
+    let State { history, operations, operations_by_age, claims, .. } = current_state;
     let old = OldState {
         history,
         operations,
@@ -241,12 +242,12 @@
 }
 
 #[test]
-fn a_snapshot_of_the_first_release_is_read_whole() {
+fn a_snapshot_of_the_first_release_decodes_completely() {
     let mut state = decode_state(&old_state(), 9).unwrap();
     assert_eq!(state.versions(), [1, 5, 3, 0, 0]);
     assert!(state.history().config().customer_id("x").is_some());
     assert_eq!(state.history().deltas().count(), 1);
-    assert_eq!(state.apply(change("a", None, "again")), accepted(1), "its first answer");
+    assert_eq!(state.apply(change("a", None, "again")), accepted(1), "the recorded outcome");
     assert_eq!(state.operation("b"), Some(&ChangeOutcome::Conflict(1)));
     let other = Claim { attempt: Attempt { seq: 9, ..claim().attempt }, ..claim() };
     let held = state.apply(Command::Claim { at_ms: 2, claim: other });
@@ -269,16 +270,18 @@
     assert_eq!(claimed, Reply::Claimed(Claimed::Answered(None)));
 }
 
-/// A state with something in each of its parts, as the two releases before this one held it.
-fn states_before() -> [Vec<u8>; 2] {
-    let mut known = with_services();
-    known.apply(change("a", Some(0), "x"));
-    known.apply(Command::Claim { at_ms: 1, claim: claim() });
-    known.apply(Command::DrainHall("a".into()));
-    known.apply(order("llm", "v2"));
-    let State { history, operations, operations_by_age, claims, drained, rollouts, .. } = known;
-    let document = || Some(Arc::new(document_before(5)));
-    let before = StateBefore {
+/// An encoded state in which no part but the quarantines is empty, in the form of each of the two
+/// previous releases.
+fn previous_states() -> [Vec<u8>; 2] {
+    let mut current_state = with_services();
+    current_state.apply(change("a", Some(0), "x"));
+    current_state.apply(Command::Claim { at_ms: 1, claim: claim() });
+    current_state.apply(Command::DrainHall("a".into()));
+    current_state.apply(order("llm", "v2"));
+    let State { history, operations, operations_by_age, claims, drained, rollouts, .. } =
+        current_state;
+    let document = || Some(Arc::new(document_without_health_path(5)));
+    let previous = StateWithoutHealthPath {
         history: history.clone(),
         operations: operations.clone(),
         operations_by_age: operations_by_age.clone(),
@@ -289,7 +292,7 @@
         quarantines: Quarantines::default(),
     };
     let document = document();
-    let without = StateWithoutQuarantine {
+    let without_quarantine = StateWithoutQuarantine {
         history,
         operations,
         operations_by_age,
@@ -298,14 +301,17 @@
         drained,
         rollouts,
     };
-    let mark = [0xff_u8; 9];
-    [postcard::to_stdvec(&(mark, 0x82_u8, before)), postcard::to_stdvec(&(mark, 0x81_u8, without))]
-        .map(Result::unwrap)
+    let state_prefix = [0xff_u8; 9];
+    [
+        postcard::to_stdvec(&(state_prefix, 0x82_u8, previous)),
+        postcard::to_stdvec(&(state_prefix, 0x81_u8, without_quarantine)),
+    ]
+    .map(Result::unwrap)
 }
 
 #[test]
-fn snapshots_of_the_two_releases_before_are_read_whole() {
-    for bytes in states_before() {
+fn snapshots_of_the_two_previous_releases_decode_completely() {
+    for bytes in previous_states() {
         let state = decode_state(&bytes, 9).unwrap();
         assert_eq!(**state.document().unwrap(), document(5));
         assert!(state.history().config().customer_id("x").is_some());
@@ -315,12 +321,12 @@
 }
 
 #[test]
-fn commands_of_the_two_releases_before_are_applied() {
+fn commands_of_the_two_previous_releases_are_applied() {
     let Command::StartRollout(started) = order("llm", "v2") else { panic!("another command") };
     for format in [0x81_u8, 0x82] {
         let mut state = with_services();
         let replace: OldCommand<Route, CustomerKeys> =
-            OldCommand::Replace(Box::new(document_before(9)));
+            OldCommand::Replace(Box::new(document_without_health_path(9)));
         for command in [replace, OldCommand::StartRollout(started.clone())] {
             let bytes = postcard::to_stdvec(&(format, command)).unwrap();
             state.apply(decode_command(&bytes, 10).unwrap());
@@ -331,7 +337,7 @@
 }
 
 #[test]
-fn what_this_release_writes_it_reads() {
+fn encoded_commands_and_states_decode_to_the_same_values() {
     let mut state = with_services();
     for command in [order("llm", "v2"), change("a", None, "x"), Command::DrainHall("a".into())] {
         let read = decode_command(&encode_command(&command).unwrap(), 1).unwrap();
@@ -341,44 +347,56 @@
     let read = decode_state(&encode_state(&state).unwrap(), 1).unwrap();
     assert_eq!(read.versions(), state.versions());
     assert_eq!(read.rollouts(), state.rollouts());
-    assert_eq!(decode_state(&[], 0).unwrap().versions(), [0; 5], "nothing agreed yet");
+    assert_eq!(decode_state(&[], 0).unwrap().versions(), [0; 5], "an empty snapshot");
 }
 
-/// What an operator reads of a folder that cannot be read.
-fn refusal<T>(read: Result<T, Error>) -> String {
+/// The text of the error that an operator sees for unreadable data.
+fn unreadable_text<T>(read: Result<T, Error>) -> String {
     match read {
         Err(error @ Error::Unreadable { .. }) => error.to_string(),
         Err(error) => panic!("another error: {error}"),
-        Ok(_) => panic!("it was read"),
+        Ok(_) => panic!("decoded without an error"),
     }
 }
 
 #[test]
-fn another_format_is_named_with_its_remedy() {
+fn the_error_for_another_format_names_both_formats_and_the_remedy() {
     let mut state = encode_state(&State::default()).unwrap();
     state[9] += 1;
     let mut command = encode_command(&Command::DrainHall("a".into())).unwrap();
     command[0] += 1;
     let remedy = "has format 132, this release reads 131; install the release that wrote it again";
-    assert_eq!(refusal(decode_state(&state, 7)), format!("the snapshot at entry 7 {remedy}"));
-    let read = refusal(decode_command(&command, 8));
+    assert_eq!(
+        unreadable_text(decode_state(&state, 7)),
+        format!("the snapshot at entry 7 {remedy}")
+    );
+    let read = unreadable_text(decode_command(&command, 8));
     assert_eq!(read, format!("the agreed command at entry 8 {remedy}"));
 }
 
 #[test]
-fn what_is_cut_or_has_something_behind_it_is_not_read() {
-    let today = encode_state(&with_services()).unwrap();
+fn truncated_data_and_trailing_bytes_are_errors() {
+    let current = encode_state(&with_services()).unwrap();
     let command = encode_command(&Command::DrainHall("a".into())).unwrap();
-    for whole in [old_state(), today] {
-        assert!(refusal(decode_state(&whole[..whole.len() - 1], 1)).contains("does not decode"));
-        assert!(refusal(decode_state(&[&whole[..], &[0]].concat(), 1)).contains("does not decode"));
+    for bytes in [old_state(), current] {
+        assert!(
+            unreadable_text(decode_state(&bytes[..bytes.len() - 1], 1)).contains("does not decode")
+        );
+        assert!(
+            unreadable_text(decode_state(&[&bytes[..], &[0]].concat(), 1))
+                .contains("does not decode")
+        );
     }
-    for whole in old_commands().into_iter().chain([command]) {
-        assert!(refusal(decode_command(&whole[..whole.len() - 1], 1)).contains("does not decode"));
+    for bytes in old_commands().into_iter().chain([command]) {
+        assert!(
+            unreadable_text(decode_command(&bytes[..bytes.len() - 1], 1))
+                .contains("does not decode")
+        );
         assert!(
-            refusal(decode_command(&[&whole[..], &[0]].concat(), 1)).contains("does not decode")
+            unreadable_text(decode_command(&[&bytes[..], &[0]].concat(), 1))
+                .contains("does not decode")
         );
     }
-    refusal(decode_command(&[], 1));
-    refusal(decode_command(&[6, 0], 1));
+    unreadable_text(decode_command(&[], 1));
+    unreadable_text(decode_command(&[6, 0], 1));
 }
