--- a/src/control/registrations.rs
+++ b/src/control/registrations.rs
@@ -1,42 +1,43 @@
-//! What endpoints say of themselves, where it is first heard.
+//! Checks and records registrations that endpoints send to this host.
 
 use super::Control;
 use crate::clock::epoch_ms;
 use crate::registry::{Registration, Registry};
 use crate::routing::Routing;
 
-/// Milliseconds by which the time of day of an endpoint may be ahead of a host's.
+/// Most milliseconds by which the time of day of an endpoint may be ahead of a host's.
 const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 
-/// What became of what was said of an endpoint.
+/// The outcome of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationOutcome {
-    /// It is known from now on.
+    /// It is recorded.
     Accepted,
-    /// No configuration in force names its service: nothing is sent to it, and nothing is
-    /// kept of it.
+    /// The routing in force does not name its service: it is not recorded, and the endpoint
+    /// gets no requests.
     NoService,
     /// The endpoint of this id belongs to another service: nothing is changed.
     OtherService,
 }
 
-/// Whether what is said of an endpoint is to be taken in.
+/// Decides whether a registration is recorded.
 pub fn check_registration(
-    said: &Registration,
+    registration: &Registration,
     registry: &Registry,
     routing: Option<&Routing>,
 ) -> RegistrationOutcome {
-    let known = registry.get(&said.id).filter(|known| !known.service.is_empty());
-    let is_same_service = known.is_some_and(|known| known.service == said.service);
-    if said.address.is_none() || is_same_service {
+    let known = registry.get(&registration.id).filter(|known| !known.service.is_empty());
+    let is_same_service = known.is_some_and(|known| known.service == registration.service);
+    if registration.address.is_none() || is_same_service {
         return RegistrationOutcome::Accepted;
     }
-    let is_named = routing.is_none_or(|r| r.table.services.iter().any(|s| s.name == said.service));
+    let is_named =
+        routing.is_none_or(|r| r.table.services.iter().any(|s| s.name == registration.service));
     match known {
         None if is_named => RegistrationOutcome::Accepted,
         None => RegistrationOutcome::NoService,
-        // An endpoint belongs to one service from its start to its end.
-        Some(known) if is_named && known.started_at_ms < said.started_at_ms => {
+        // An endpoint serves one service from its start to its end.
+        Some(known) if is_named && known.started_at_ms < registration.started_at_ms => {
             RegistrationOutcome::Accepted
         }
         Some(_) => RegistrationOutcome::OtherService,
@@ -44,22 +45,23 @@
 }
 
 impl Control {
-    /// Takes in what an endpoint says of itself. Routers in reach are told at once.
-    /// Any control host does so by itself: it needs no leader.
+    /// Records a registration. The feeds of this host send it to the connected routers at once.
+    /// Any control host does so by itself: this needs no leader.
     pub fn register(&self, registration: Registration) -> RegistrationOutcome {
         let routing = self.documents.current();
-        let mut heard = RegistrationOutcome::Accepted;
-        // Under one lock: of two services that say they have this endpoint one is taken.
+        let mut outcome = RegistrationOutcome::Accepted;
+        // Check and merge under one lock: of concurrent registrations of this endpoint for two
+        // services, one is recorded.
         self.registry.merge_if(registration.clone(), |registry| {
-            heard = check_registration(&registration, registry, routing.as_deref());
-            heard == RegistrationOutcome::Accepted
+            outcome = check_registration(&registration, registry, routing.as_deref());
+            outcome == RegistrationOutcome::Accepted
         });
-        heard
+        outcome
     }
 
-    /// Takes in that an endpoint ends, which names no start: the one that is known here, or
-    /// where none is, all that may have begun by now. Of these one that calls on takes work
-    /// again.
+    /// Records that an endpoint ended. The call does not say which start ended: it applies to the
+    /// start that is known here or, where none is, to any that may have begun by now. If that
+    /// start goes on registering, it gets requests again.
     pub fn deregister(&self, id: &str) {
         let started_at_ms = epoch_ms().saturating_add(MAX_CLOCK_SKEW_MS);
         self.register(Registration { started_at_ms, ..Registration::gone(id) });
--- a/src/control/tests/registrations.rs
+++ b/src/control/tests/registrations.rs
@@ -1,4 +1,4 @@
-//! What is taken in of what is said of endpoints.
+//! Which registrations of endpoints are recorded.
 
 use crate::control::{RegistrationOutcome, check_registration};
 use crate::registry::{EndpointState, Origin, Registration, Registry};
@@ -18,7 +18,7 @@
     })
 }
 
-fn said(service: &str, started_at_ms: u64) -> Registration {
+fn registration(service: &str, started_at_ms: u64) -> Registration {
     Registration {
         started_at_ms,
         service: service.into(),
@@ -30,52 +30,52 @@
     }
 }
 
-fn known(service: &str, started_at_ms: u64) -> Registry {
+fn registry_with(service: &str, started_at_ms: u64) -> Registry {
     let mut registry = Registry::default();
-    registry.merge(said(service, started_at_ms), Origin::Direct);
+    registry.merge(registration(service, started_at_ms), Origin::Direct);
     registry
 }
 
 #[test]
-fn nothing_is_kept_of_a_service_that_no_configuration_names() {
+fn a_registration_for_an_unknown_service_is_not_recorded() {
     let empty = Registry::default();
     let in_force = routing(&["app"]);
     assert_eq!(
-        check_registration(&said("app", 1), &empty, Some(&in_force)),
+        check_registration(&registration("app", 1), &empty, Some(&in_force)),
         RegistrationOutcome::Accepted
     );
     assert_eq!(
-        check_registration(&said("other", 1), &empty, Some(&in_force)),
+        check_registration(&registration("other", 1), &empty, Some(&in_force)),
         RegistrationOutcome::NoService
     );
     assert_eq!(
-        check_registration(&said("other", 1), &empty, None),
+        check_registration(&registration("other", 1), &empty, None),
         RegistrationOutcome::Accepted,
         "none is in force yet"
     );
 }
 
 #[test]
-fn an_endpoint_belongs_to_one_service_from_its_start_to_its_end() {
+fn an_endpoint_changes_its_service_only_with_a_new_start() {
     let in_force = routing(&["app", "llm"]);
-    let registry = known("app", 5);
-    let heard = |service, started_at_ms| {
-        check_registration(&said(service, started_at_ms), &registry, Some(&in_force))
+    let registry = registry_with("app", 5);
+    let outcome = |service, started_at_ms| {
+        check_registration(&registration(service, started_at_ms), &registry, Some(&in_force))
     };
-    assert_eq!(heard("app", 5), RegistrationOutcome::Accepted);
-    assert_eq!(heard("llm", 5), RegistrationOutcome::OtherService);
-    assert_eq!(heard("llm", 4), RegistrationOutcome::OtherService);
-    assert_eq!(heard("llm", 6), RegistrationOutcome::Accepted);
-    assert_eq!(heard("other", 6), RegistrationOutcome::OtherService);
+    assert_eq!(outcome("app", 5), RegistrationOutcome::Accepted);
+    assert_eq!(outcome("llm", 5), RegistrationOutcome::OtherService);
+    assert_eq!(outcome("llm", 4), RegistrationOutcome::OtherService);
+    assert_eq!(outcome("llm", 6), RegistrationOutcome::Accepted);
+    assert_eq!(outcome("other", 6), RegistrationOutcome::OtherService);
 }
 
 #[test]
-fn an_endpoint_whose_service_is_no_longer_named_may_still_leave() {
+fn an_endpoint_whose_service_is_no_longer_routed_may_still_leave() {
     let in_force = routing(&["llm"]);
-    let registry = known("app", 5);
-    let leaves = Registration { state: EndpointState::Leaving, ..said("app", 5) };
+    let registry = registry_with("app", 5);
+    let leaving = Registration { state: EndpointState::Leaving, ..registration("app", 5) };
     assert_eq!(
-        check_registration(&leaves, &registry, Some(&in_force)),
+        check_registration(&leaving, &registry, Some(&in_force)),
         RegistrationOutcome::Accepted
     );
     assert_eq!(
