--- a/src/control.rs
+++ b/src/control.rs
@@ -1,7 +1,7 @@
-//! The control process: one of the hosts that agree on the configuration.
+//! The control process: one of the hosts that agree on the configuration, the routing document
+//! and the other replicated state.
 
 pub(crate) mod bootstrap;
-mod courier;
 mod documents;
 mod driver;
 mod format;
@@ -18,6 +18,7 @@
 mod state;
 #[cfg(test)]
 mod tests;
+mod transport;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -41,50 +42,50 @@
 use crate::store::{Disk, Found};
 use crate::wire::{HostId, Open, Role, Traffic};
 
-/// How long to wait for a disk that refuses to be opened.
-const DISK_PAUSE: Duration = Duration::from_millis(200);
+/// Pause before the data folder is opened again after an I/O error.
+const DISK_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-use published::Published;
+use published::PublishedState;
 
 pub use documents::CallError;
 pub use halls::HallOrder;
 pub use handle::{Handle, Leadership, NoLeader};
-pub use join::Joined;
+pub use join::JoinReply;
 pub use registrations::{RegistrationOutcome, check_registration};
 pub use serve::{ClaimAction, ClaimAnswer, ClaimOutcome, ClaimRequest, Identity};
 pub use state::{ChangeOutcome, Command, Reply, State};
 
-/// What the parts of a control host share.
+/// What the tasks of a control host share.
 #[derive(Debug)]
 pub struct Control {
-    /// Its settings.
+    /// The settings of this host.
     pub settings: ControlSettings,
-    /// The other hosts.
+    /// Connections to the other hosts.
     pub peers: Arc<Peers>,
-    /// The newest accepted configuration, as this host knows it.
+    /// The newest accepted configuration that this host has applied or received.
     pub configs: Arc<Configs>,
-    /// The routing in force, as this host knows it.
+    /// The newest routing in force that this host has applied or received.
     pub documents: Arc<CurrentRouting>,
-    /// Endpoints that registered themselves here or elsewhere.
+    /// Endpoints that registered themselves with this or another host.
     pub registry: Arc<SharedRegistry>,
-    /// Releases that are rolled out.
+    /// The roll-outs of releases, and the reports and grants for them.
     pub rollouts: Arc<SharedRollouts>,
-    /// Requests that crash endpoints.
+    /// The requests in quarantine because they crash endpoints, and reports of crashes.
     pub quarantine: Arc<SharedQuarantine>,
-    /// What is shown of those that this host leads, by service.
+    /// Progress of the roll-outs that this host conducts as leader, by service.
     pub rollout_progress: Mutex<BTreeMap<String, Progress>>,
     /// The placer that runs here.
     pub placement: PlacerHandle,
-    /// The feeds that are open from here.
+    /// The hosts that follow a feed of this host.
     pub followers: Arc<Followers>,
-    /// The agreement.
+    /// Handle to the agreement of the control group.
     pub handle: Handle,
-    /// Set when an operator asks for a planned stop.
+    /// Cancelled for a planned stop, by a call of an operator or by a signal.
     pub stop: CancellationToken,
 }
 
 impl Control {
-    /// What this host tells by feed, and learns so from the others.
+    /// The state that this host publishes in its feeds and receives from those of other hosts.
     fn followed(&self) -> Followed {
         Followed {
             documents: self.documents.clone(),
@@ -95,29 +96,29 @@
     }
 }
 
-/// How operators and endpoints of another platform reach a control host.
+/// An HTTP interface for the operators and endpoints of another platform.
 pub struct Interface {
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
     /// Builds the application that translates their calls.
     pub app: Box<dyn FnOnce(Arc<Control>) -> axum::Router + Send>,
 }
 
-/// Opens the data folder. While the disk refuses, it is tried again; damage and
-/// a folder in use are errors.
+/// Opens the data folder. I/O errors are retried if the settings say `wait_for_disk`; a damaged
+/// folder or one in use by another process is always an error.
 async fn open_disk(settings: &ControlSettings) -> Result<(Disk, Found)> {
     loop {
         match Disk::open(&settings.data) {
             Err(error @ Error::File { .. }) if settings.wait_for_disk => {
                 log::error!("store: cannot be opened yet: {error}");
-                tokio::time::sleep(DISK_PAUSE).await;
+                tokio::time::sleep(DISK_RETRY_PAUSE).await;
             }
             opened => return opened,
         }
     }
 }
 
-/// Runs a control host until `stop`.
+/// Runs a control host until `stop` is cancelled or its driver ends with an error.
 pub async fn run(
     settings: ControlSettings,
     stop: CancellationToken,
@@ -126,7 +127,10 @@
     settings.check()?;
     let (disk, found) = open_disk(&settings).await?;
     if found.cut_bytes > 0 {
-        log::warn!("store: cut a torn tail of {} bytes", found.cut_bytes);
+        log::warn!(
+            "store: truncated an incomplete record of {} bytes at the end of the log",
+            found.cut_bytes
+        );
     }
     let role = Role::Control;
     let (peers, incoming) = Peers::start(&settings.host, role, settings.operator).await?;
@@ -138,7 +142,7 @@
     let (handle, driver) = driver::start(
         &settings,
         peers.clone(),
-        Published { configs: configs.clone(), followed },
+        PublishedState { configs: configs.clone(), followed },
         disk,
         found,
     )?;
@@ -147,8 +151,8 @@
         settings.placement,
         peers.clock,
         move || {
-            let known = leadership.borrow();
-            known.leads.then_some(known.term)
+            let current = leadership.borrow();
+            current.leads.then_some(current.term)
         },
         documents.clone(),
         registry.clone(),
@@ -169,7 +173,7 @@
         handle,
         stop: stop.clone(),
     });
-    tokio::spawn(take_connections(control.clone(), incoming));
+    tokio::spawn(accept_connections(control.clone(), incoming));
     tokio::spawn(bootstrap::bootstrap(control.clone()));
     tokio::spawn(spread::follow_version(control.configs.clone(), control.peers.clone()));
     tokio::spawn(rollout_controller::run(control.clone()));
@@ -185,7 +189,7 @@
         );
         crate::http::serve(interface.listen, (interface.app)(control.clone()), &stop).await?;
     }
-    log::info!("control: host {} holds store {}", control.peers.me, control.handle.store);
+    log::info!("control: host {} runs with store {}", control.peers.me, control.handle.store);
     tokio::select! {
         result = driver => result.unwrap_or(Ok(())),
         () = stop.cancelled() => {
@@ -196,11 +200,11 @@
     }
 }
 
-async fn take_connections(control: Arc<Control>, mut incoming: mpsc::Receiver<Incoming>) {
+async fn accept_connections(control: Arc<Control>, mut incoming: mpsc::Receiver<Incoming>) {
     while let Some(Incoming { open, reader, writer }) = incoming.recv().await {
         match open {
             Open::Agree { host, peer } => {
-                tokio::spawn(serve::take_envelopes(control.clone(), host, peer, reader, writer));
+                tokio::spawn(serve::receive_envelopes(control.clone(), host, peer, reader, writer));
             }
             Open::Pull { have, .. } => {
                 tokio::spawn(spread::answer_pull(
@@ -223,10 +227,10 @@
                 tokio::spawn(publish_feed(control.clone(), host, reader, writer));
             }
             Open::Claims { router } => {
-                tokio::spawn(serve::take_claims(control.clone(), router, reader, writer));
+                tokio::spawn(serve::serve_claims(control.clone(), router, reader, writer));
             }
             open @ (Open::Dispatch { .. } | Open::Caller { .. } | Open::Leaving { .. }) => {
-                log::warn!("peer: a control host takes no connection {open:?}");
+                log::warn!("peer: a control host accepts no connection {open:?}");
             }
         }
     }
@@ -248,6 +252,6 @@
     };
     let published = feed::publish(publication, control.peers.sent.clone(), reader, writer);
     if let Err(error) = published.await {
-        log::info!("feed: host {host} follows no longer: {error}");
+        log::info!("feed: host {host} no longer follows: {error}");
     }
 }
--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -1,7 +1,7 @@
-//! How a group begins: once, when every founder is there with an empty store.
+//! Bootstraps the control group, once, when every founder is up and has an empty store.
 //!
-//! A founder that comes back without its disk finds others that belong to a
-//! group already, so it cannot found another; it waits to be let in.
+//! A founder that restarts without its disk finds that other founders already belong to a
+//! group. It then does not bootstrap a second group, but waits until it is added to that one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,11 @@
 use crate::error::Result;
 use crate::wire::{HostId, Open};
 
-/// How often founders look for each other.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Pause between two attempts to reach all founders.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Founds the group when this host is the first founder and all are empty.
+/// Bootstraps the group if this host is the founder with the lowest id and no founder belongs
+/// to a group yet.
 pub(super) async fn bootstrap(control: Arc<Control>) {
     let (founders, addresses) = control.settings.founding();
     if founders.iter().min() != Some(&control.peers.me) {
@@ -29,19 +30,20 @@
         }
         let identities = identify_all(&control, &addresses).await;
         if identities.iter().any(|i| i.is_bootstrapped) {
-            log::warn!("control: the group exists; this store waits to be let in");
+            log::warn!("control: the group exists already; this store waits to be added");
             return;
         }
-        if let Some(members) = complete(&founders, &identities) {
+        if let Some(members) = members_of(&founders, &identities) {
             control.handle.bootstrap(members).await;
             return;
         }
-        log::info!("control: {} of {} founders are here", identities.len(), founders.len());
-        tokio::time::sleep(PAUSE).await;
+        log::info!("control: {} of {} founders are up", identities.len(), founders.len());
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-fn complete(founders: &[HostId], identities: &[Identity]) -> Option<Vec<GroupMember>> {
+/// The first members of the group; none while a founder is missing.
+fn members_of(founders: &[HostId], identities: &[Identity]) -> Option<Vec<GroupMember>> {
     let member = |host: &HostId| {
         let identity = identities.iter().find(|i| i.host == *host)?;
         Some(GroupMember {
@@ -68,7 +70,7 @@
     identities
 }
 
-/// Asks a control host which store it holds.
+/// Asks the control host at `address` which store it holds.
 pub(crate) async fn identify(control: &Control, address: std::net::SocketAddr) -> Result<Identity> {
     let (mut reader, _writer) = control.peers.connect(address, &Open::Identify).await?;
     let limit = Duration::from_secs(1);
--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -1,4 +1,4 @@
-//! Replacing and reading the routing document.
+//! Replaces and reads the routing document, and renders the host's metrics.
 
 use std::sync::Arc;
 
@@ -18,19 +18,19 @@
     UnknownHall,
     /// There is no such service.
     UnknownService,
-    /// No release of the service was ever ordered to be rolled out.
+    /// No roll-out of the service was ever ordered.
     NoRollout,
     /// Another roll-out of the service is under way.
     UnderWay,
     /// Another host leads.
     Elsewhere(HostId),
-    /// Nothing can be said for sure; ask again.
+    /// The outcome or state is not known for certain; the call may be sent again.
     Uncertain,
 }
 
-/// A reply that belongs to another kind of command: nothing can be said for sure.
-pub(super) fn unexpected(reply: &Reply) -> CallError {
-    log::error!("control: a command got the reply of another kind: {reply:?}");
+/// The error for a reply that belongs to another kind of command.
+pub(super) fn unexpected_reply(reply: &Reply) -> CallError {
+    log::error!("control: a command got a reply of another kind: {reply:?}");
     CallError::Uncertain
 }
 
@@ -44,42 +44,42 @@
 }
 
 impl Control {
-    /// Puts a document in force unless one at least as high is. Returns the
-    /// version in force, which is on the disks of a majority.
+    /// Puts a document in force, unless one of the same or a higher version already is.
+    /// Returns the version in force, which is then on the disks of a majority.
     pub async fn replace_document(&self, document: Document) -> Result<u64, CallError> {
         document.table.check().map_err(CallError::Invalid)?;
         let version = document.table.version;
-        let held = self.documents.current().map(|routing| routing.table.version);
-        if let Some(held) = held.filter(|held| *held >= version) {
+        let current = self.documents.current().map(|routing| routing.table.version);
+        if let Some(current) = current.filter(|current| *current >= version) {
             self.handle.read().await?;
-            return Ok(held);
+            return Ok(current);
         }
         match self.handle.propose(Command::Replace(Box::new(document))).await? {
             Reply::Replaced(in_force) => {
                 let routers = self.live_routers();
                 log::info!(
-                    "control: document {version} taken, {in_force} is in force, \
+                    "control: document {version} accepted, {in_force} is in force, \
                      {routers} routers are live"
                 );
                 Ok(in_force)
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    /// The newest document; none before the first.
+    /// The document in force; none before the first.
     pub async fn read_document(&self) -> Result<Option<Arc<Document>>, CallError> {
         self.handle.read().await?;
-        let document = self.handle.look(|state| state.document().cloned()).await?;
+        let document = self.handle.inspect(|state| state.document().cloned()).await?;
         Ok(document)
     }
 
-    /// Routers that this host hears.
+    /// Number of routers that this host receives heartbeats from.
     fn live_routers(&self) -> usize {
         self.peers.view().with_role(Role::Router).count()
     }
 
-    /// What this host counts, in the text format of metrics.
+    /// The metrics of this host, in the Prometheus text format.
     pub fn render_metrics(&self) -> String {
         let version = self.documents.current().map_or(0, |routing| routing.table.version);
         let leadership = self.handle.leadership.borrow().clone();
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -1,4 +1,5 @@
-//! Drives the agreement: disk, network and state around the state machine.
+//! Runs the consensus replica: feeds it events, and carries out what it returns on the disk,
+//! the network and the replicated state.
 
 mod group;
 
@@ -11,89 +12,97 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinHandle;
 
-use super::courier::Couriers;
 use super::format::{decode_command, decode_state, encode_command, encode_state};
 use super::handle::{DriverStatus, Event, Handle, Leadership, NoLeader, ReplyTo};
-use super::published::Published;
+use super::published::PublishedState;
 use super::state::{Command, State};
+use super::transport::Transport;
 use crate::agree::{Entry, Envelope, NotLeader, Output, Payload, Persist, Replica, Role, StoreId};
 use crate::error::{NetSnafu, Result};
 use crate::peer::Peers;
 use crate::settings::ControlSettings;
 use crate::store::{Disk, DiskWriter, Found};
 
-/// Events taken together, so that they share one sync.
+/// Most events handled in one batch, whose proposals share one sync to disk.
 const MAX_BATCH: usize = 1_024;
-/// Events that may wait.
-const INBOX: usize = 8_192;
+/// Most events that may be queued for the driver.
+const MAX_QUEUED_EVENTS: usize = 8_192;
 
-/// Messages that promise what the disk has not yet taken.
+/// Messages that may be sent only once a disk job is synced, because they acknowledge what
+/// that job writes.
 struct Unsynced {
     job: u64,
     messages: Vec<Envelope>,
+    /// Index and term of the last log entry once the job is synced.
     last_entry: (u64, u64),
 }
 
-/// Starts the driver on what was found on disk.
+/// Starts the driver with what was read from the data folder.
 pub(super) fn start(
     settings: &ControlSettings,
     peers: Arc<Peers>,
-    published: Published,
+    published: PublishedState,
     disk: Disk,
     found: Found,
 ) -> Result<(Handle, JoinHandle<Result<()>>)> {
     let store = disk.identity();
     let (disk, synced) =
         DiskWriter::start(disk).context(NetSnafu { what: "start the disk thread" })?;
-    let (sender, events) = mpsc::channel(INBOX);
+    let (sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
     let now = peers.clock.now();
     let seed = rand::rng().random();
     let state = decode_state(&found.snapshot.data, found.snapshot.index)?;
-    let applied = found.snapshot.index;
+    let applied_index = found.snapshot.index;
     let mut replica = Replica::new(now, store, found.hard, found.snapshot, found.entries, seed);
     replica.set_most_voters(settings.most_voters());
     let status = watch::Sender::new(Leadership::of(&replica));
     let leadership = status.subscribe();
     let driver = Driver {
         store,
-        most_voters: settings.most_voters(),
+        max_voters: settings.most_voters(),
         unsynced: VecDeque::new(),
         published,
         leadership: status,
-        couriers: Couriers::new(peers.clone()),
+        transport: Transport::new(peers.clone()),
         peers,
         disk,
         replica,
         state,
-        applied,
-        snapshot_at: applied,
+        applied_index,
+        snapshot_index: applied_index,
         snapshot_every: settings.snapshot_every,
-        waiting: BTreeMap::new(),
-        reads: BTreeMap::new(),
-        next_read: 0,
+        pending_proposals: BTreeMap::new(),
+        pending_reads: BTreeMap::new(),
+        last_read_token: 0,
     };
-    driver.published.adopt(&driver.state);
+    driver.published.update(&driver.state);
     let task = tokio::spawn(driver.run(events, synced));
     Ok((Handle { store, events: sender, leadership }, task))
 }
 
 struct Driver {
     peers: Arc<Peers>,
-    published: Published,
+    published: PublishedState,
     leadership: watch::Sender<Leadership>,
-    couriers: Couriers,
+    transport: Transport,
     store: StoreId,
-    most_voters: usize,
+    max_voters: usize,
     disk: DiskWriter,
     unsynced: VecDeque<Unsynced>,
     replica: Replica,
     state: State,
-    applied: u64,
-    snapshot_at: u64,
+    /// Index of the last entry applied to `state`.
+    applied_index: u64,
+    /// Index of the last entry in the newest snapshot.
+    snapshot_index: u64,
+    /// Least number of entries between two snapshots.
     snapshot_every: u64,
-    waiting: BTreeMap<u64, (u64, ReplyTo)>,
-    reads: BTreeMap<u64, oneshot::Sender<Result<(), NoLeader>>>,
-    next_read: u64,
+    /// Proposals made here that are not yet applied, by index: term and reply channel.
+    pending_proposals: BTreeMap<u64, (u64, ReplyTo)>,
+    /// Reads that are not yet confirmed, by token.
+    pending_reads: BTreeMap<u64, oneshot::Sender<Result<(), NoLeader>>>,
+    /// Token of the newest read.
+    last_read_token: u64,
 }
 
 impl Driver {
@@ -112,40 +121,40 @@
                     while let Some(more) = events.try_recv().ok().filter(|_| batch.len() < MAX_BATCH) {
                         batch.push(more);
                     }
-                    self.events(batch)?;
+                    self.handle_events(batch)?;
                 }
                 job = synced.recv() => {
                     let Some(job) = job else { return Ok(()) };
-                    self.synced(job)?;
+                    self.on_synced(job)?;
                 }
                 () = tokio::time::sleep(Duration::from_millis(pause)) => {
                     let out = self.replica.tick(self.peers.clock.now());
-                    self.carry_out(out)?;
+                    self.execute(out)?;
                 }
             }
-            self.drop_waiting_unless_leader();
+            self.fail_pending_unless_leader();
             self.publish_leadership();
         }
     }
 
-    /// The disk has taken a job and all before it.
-    fn synced(&mut self, job: u64) -> Result<()> {
+    /// Handles that a disk job and all jobs before it are synced.
+    fn on_synced(&mut self, job: u64) -> Result<()> {
         while let Some(unsynced) = self.unsynced.pop_front_if(|u| u.job <= job) {
             self.send_messages(unsynced.messages);
             let (index, term) = unsynced.last_entry;
             let out = self.replica.synced(index, term);
-            self.carry_out(out)?;
+            self.execute(out)?;
         }
         Ok(())
     }
 
     fn publish_leadership(&mut self) {
-        let now = Leadership::of(&self.replica);
-        self.leadership.send_if_modified(|known| {
-            let changed = *known != now;
+        let current = Leadership::of(&self.replica);
+        self.leadership.send_if_modified(|published| {
+            let changed = *published != current;
             if changed {
-                log::info!("control: term {}, leader {:?}", now.term, now.leader);
-                *known = now;
+                log::info!("control: term {}, leader {:?}", current.term, current.leader);
+                *published = current;
             }
             changed
         });
@@ -153,17 +162,18 @@
 
     fn send_messages(&mut self, messages: Vec<Envelope>) {
         if !messages.is_empty() {
-            self.couriers.send(self.replica.members(), messages);
+            self.transport.send(self.replica.members(), messages);
         }
     }
 
-    /// Takes a batch: all proposals in it are appended, synced and sent together.
-    fn events(&mut self, batch: Vec<Event>) -> Result<()> {
+    /// Handles a batch of events. All its proposals are appended, synced and sent together,
+    /// after the other events.
+    fn handle_events(&mut self, batch: Vec<Event>) -> Result<()> {
         let mut proposals = Vec::new();
         for event in batch {
             match event {
                 Event::Propose(command, reply) => proposals.push((command, reply)),
-                other => self.event(other)?,
+                other => self.handle_event(other)?,
             }
         }
         match proposals.is_empty() {
@@ -172,13 +182,13 @@
         }
     }
 
-    fn event(&mut self, event: Event) -> Result<()> {
+    fn handle_event(&mut self, event: Event) -> Result<()> {
         let now = self.peers.clock.now();
         match event {
             Event::Receive { envelope, host, peer } => {
-                self.couriers.learn(envelope.from, host, peer);
+                self.transport.record_address(envelope.from, host, peer);
                 let out = self.replica.receive(now, envelope);
-                self.carry_out(out)
+                self.execute(out)
             }
             Event::Propose(command, reply) => self.propose(vec![(command, reply)]),
             Event::Read(reply) => self.read(reply),
@@ -191,16 +201,16 @@
                     matched: self.replica.matched(),
                     claims: self.state.claims().len(),
                 };
-                // The asker may have left.
+                // The caller may have given up.
                 let _ = reply.send(status);
                 Ok(())
             }
-            Event::Look(look, refuse) => {
+            Event::Inspect(inspect, refuse) => {
                 if self.replica.role() == Role::Leader {
-                    look(&self.state);
+                    inspect(&self.state);
                 } else {
                     let leader = self.replica.leader();
-                    // The asker may have left.
+                    // The caller may have given up.
                     let _ = refuse.send(self.no_leader(NotLeader { leader }));
                 }
                 Ok(())
@@ -220,15 +230,15 @@
         match self.replica.propose(self.peers.clock.now(), data) {
             Ok((indexes, out)) => {
                 let term = self.replica.term();
-                let waiting = replies.into_iter().map(|reply| (term, reply));
-                self.waiting.extend(indexes.into_iter().zip(waiting));
-                self.carry_out(out)
+                let pending = replies.into_iter().map(|reply| (term, reply));
+                self.pending_proposals.extend(indexes.into_iter().zip(pending));
+                self.execute(out)
             }
             Err(not_leader) => {
-                let why = self.no_leader(not_leader);
+                let error = self.no_leader(not_leader);
                 for reply in replies {
-                    // The asker may have left.
-                    let _ = reply.send(Err(why));
+                    // The caller may have given up.
+                    let _ = reply.send(Err(error));
                 }
                 Ok(())
             }
@@ -242,42 +252,43 @@
     }
 
     fn read(&mut self, reply: oneshot::Sender<Result<(), NoLeader>>) -> Result<()> {
-        self.next_read += 1;
-        let token = self.next_read;
+        self.last_read_token += 1;
+        let token = self.last_read_token;
         match self.replica.read(self.peers.clock.now(), token) {
             Ok(out) => {
-                self.reads.insert(token, reply);
-                self.carry_out(out)
+                self.pending_reads.insert(token, reply);
+                self.execute(out)
             }
             Err(not_leader) => {
-                // The asker may have left.
+                // The caller may have given up.
                 let _ = reply.send(Err(self.no_leader(not_leader)));
                 Ok(())
             }
         }
     }
 
-    fn carry_out(&mut self, out: Output) -> Result<()> {
-        let (held, at_once) = out.messages.into_iter().partition(Envelope::needs_sync);
-        self.send_messages(at_once);
-        self.persist(out.persist, held);
+    fn execute(&mut self, out: Output) -> Result<()> {
+        let (after_sync, immediate) = out.messages.into_iter().partition(Envelope::needs_sync);
+        self.send_messages(immediate);
+        self.persist(out.persist, after_sync);
         if let Some(snapshot) = out.restore {
             self.state = decode_state(&snapshot.data, snapshot.index)?;
-            self.applied = snapshot.index;
-            self.snapshot_at = snapshot.index;
-            self.published.adopt(&self.state);
+            self.applied_index = snapshot.index;
+            self.snapshot_index = snapshot.index;
+            self.published.update(&self.state);
         }
         self.apply(out.committed)?;
         for token in out.reads {
-            if let Some(reply) = self.reads.remove(&token) {
-                // The asker may have left.
+            if let Some(reply) = self.pending_reads.remove(&token) {
+                // The caller may have given up.
                 let _ = reply.send(Ok(()));
             }
         }
         self.snapshot_if_due()
     }
 
-    /// Queues records for the disk, and the messages that promise them behind.
+    /// Queues records for the disk, and the messages that must not be sent before they are
+    /// synced.
     fn persist(&mut self, records: Vec<Persist>, messages: Vec<Envelope>) {
         let last_entry = self.replica.last_entry();
         if !records.is_empty() {
@@ -294,56 +305,57 @@
     fn apply(&mut self, entries: Vec<Entry>) -> Result<()> {
         let before = self.state.versions();
         for entry in entries {
-            self.applied = entry.index;
+            self.applied_index = entry.index;
             let Payload::Data(data) = &entry.payload else {
                 continue;
             };
             let reply = self.state.apply(decode_command(data, entry.index)?);
-            if let Some((term, waiting)) = self.waiting.remove(&entry.index) {
+            if let Some((term, reply_to)) = self.pending_proposals.remove(&entry.index) {
                 let answer = match term == entry.term {
                     true => Ok(reply),
                     false => Err(NoLeader::Uncertain),
                 };
-                // The asker may have left.
-                let _ = waiting.send(answer);
+                // The caller may have given up.
+                let _ = reply_to.send(answer);
             }
         }
         if self.state.versions() != before {
-            self.published.adopt(&self.state);
+            self.published.update(&self.state);
         }
         Ok(())
     }
 
-    /// Writes a snapshot when enough entries have come and the log has grown
-    /// past the last one, so that the cost of snapshots stays a fraction.
+    /// Writes a snapshot when at least `snapshot_every` entries were applied since the last
+    /// one and the log is at least as large as that snapshot, so that writing snapshots costs
+    /// at most a constant factor.
     fn snapshot_if_due(&mut self) -> Result<()> {
-        let entries = self.applied - self.snapshot_at;
+        let entries = self.applied_index - self.snapshot_index;
         if entries < self.snapshot_every || self.disk.log_bytes() < self.disk.snapshot_bytes() {
             return Ok(());
         }
         let Ok(data) = encode_state(&self.state) else {
             return Ok(());
         };
-        self.snapshot_at = self.applied;
-        log::info!("store: snapshot at entry {}, {} bytes", self.applied, data.len());
-        let out = self.replica.compact(self.applied, data);
+        self.snapshot_index = self.applied_index;
+        log::info!("store: snapshot at entry {}, {} bytes", self.applied_index, data.len());
+        let out = self.replica.compact(self.applied_index, data);
         self.persist(out.persist, Vec::new());
         Ok(())
     }
 
-    /// Those who wait for this store's decisions are told when it leads no more.
-    fn drop_waiting_unless_leader(&mut self) {
-        if self.waiting.is_empty() && self.reads.is_empty() {
+    /// Answers pending proposals and reads as uncertain when this store no longer leads.
+    fn fail_pending_unless_leader(&mut self) {
+        if self.pending_proposals.is_empty() && self.pending_reads.is_empty() {
             return;
         }
         if self.replica.role() == Role::Leader {
             return;
         }
-        for (_, (_, reply)) in std::mem::take(&mut self.waiting) {
-            // The asker may have left.
+        for (_, (_, reply)) in std::mem::take(&mut self.pending_proposals) {
+            // The caller may have given up.
             let _ = reply.send(Err(NoLeader::Uncertain));
         }
-        for (_, reply) in std::mem::take(&mut self.reads) {
+        for (_, reply) in std::mem::take(&mut self.pending_reads) {
             let _ = reply.send(Err(NoLeader::Uncertain));
         }
     }
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -1,4 +1,4 @@
-//! Founding the group, and changes of its members.
+//! Bootstrapping the group, and changes of its members.
 
 use rand::RngExt;
 use tokio::sync::oneshot;
@@ -13,24 +13,25 @@
         if self.replica.is_founded() {
             return Ok(());
         }
-        log::info!("control: founds the group with {} stores", members.len());
+        log::info!("control: bootstrapping the group with {} stores", members.len());
         let records = Replica::founding(members);
-        // The group begins with this job; until it is on disk nothing is promised.
+        // The group exists once this job is synced; until then no message that depends on it
+        // may be sent.
         let job = self.disk.write(records.clone());
         let mut hard = HardState::default();
         let mut entries = Vec::new();
         for record in records {
             match record {
                 Persist::HardState(state) => hard = state,
-                Persist::Entries(founding) => entries = founding,
+                Persist::Entries(first) => entries = first,
                 Persist::Snapshot(_) => {}
             }
         }
         let now = self.peers.clock.now();
         let seed = rand::rng().random();
-        let none = Snapshot::default();
-        self.replica = Replica::new(now, self.store, hard, none, entries, seed);
-        self.replica.set_most_voters(self.most_voters);
+        let no_snapshot = Snapshot::default();
+        self.replica = Replica::new(now, self.store, hard, no_snapshot, entries, seed);
+        self.replica.set_most_voters(self.max_voters);
         let last_entry = self.replica.last_entry();
         self.unsynced.push_back(Unsynced { job, messages: Vec::new(), last_entry });
         Ok(())
@@ -53,9 +54,9 @@
             Ok(None) => (Ok(false), Output::default()),
             Err(not_leader) => (Err(self.no_leader(not_leader)), Output::default()),
         };
-        // The asker may have left.
+        // The caller may have given up.
         let _ = reply.send(answer);
-        self.carry_out(out)
+        self.execute(out)
     }
 
     pub(super) fn join(
@@ -67,8 +68,8 @@
             Ok((joined, out)) => (Ok(joined), out),
             Err(not_leader) => (Err(self.no_leader(not_leader)), Output::default()),
         };
-        // The asker may have left.
+        // The caller may have given up.
         let _ = reply.send(answer);
-        self.carry_out(out)
+        self.execute(out)
     }
 }
--- a/src/control/halls.rs
+++ b/src/control/halls.rs
@@ -1,28 +1,28 @@
-//! Draining data halls and taking them back.
+//! Drains and restores data halls.
 
 use super::Control;
-use super::documents::{CallError, unexpected};
+use super::documents::{CallError, unexpected_reply};
 use super::state::{Command, Reply};
 use crate::registry::DrainedHalls;
 
-/// What an operator orders about a data hall.
+/// An operator's order for a data hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HallOrder {
-    /// Nothing new is sent to its endpoints; what is under way there ends there.
+    /// Send no new requests to its endpoints; those in progress there finish there.
     Drain,
-    /// Its endpoints get work again.
+    /// Send requests to its endpoints again.
     Restore,
 }
 
 impl Control {
-    /// Carries out an order about a data hall. Returns the halls that are drained then,
-    /// which is on the disks of a majority. An order sent again changes nothing.
+    /// Executes an order for a data hall. Returns the halls that are drained after it, once
+    /// that is on the disks of a majority. A repeated order changes nothing.
     pub async fn order_hall(
         &self,
         order: HallOrder,
         hall: &str,
     ) -> Result<DrainedHalls, CallError> {
-        if !self.knows_hall(hall) {
+        if !self.has_hall(hall) {
             return Err(CallError::UnknownHall);
         }
         let command = match order {
@@ -34,18 +34,17 @@
                 let names = drained.names().collect::<Vec<_>>().join(", ");
                 let revision = drained.revision();
                 log::info!(
-                    "control: order {order:?} of data hall {hall} is taken, \
-                     drained are [{names}], revision {revision}"
+                    "control: order {order:?} of data hall {hall} accepted, \
+                     drained halls [{names}], revision {revision}"
                 );
                 Ok(drained)
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
-    /// Whether there is such a data hall: the settings name it, or a host or an endpoint
-    /// stands in it.
-    fn knows_hall(&self, hall: &str) -> bool {
+    /// Whether the data hall exists: the settings name it, or a known host or endpoint is in it.
+    fn has_hall(&self, hall: &str) -> bool {
         let view = self.peers.view();
         self.settings.halls.iter().any(|name| name == hall)
             || view.live.iter().chain(&view.suspected).any(|host| host.hall == hall)
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! How the other parts of a control host ask the agreement.
+//! The handle through which the other parts of a control host use the agreement.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 use crate::agree::{Envelope, GroupMember, Replica, Role, Status, StoreId};
 use crate::wire::HostId;
 
-/// There is no leader here to decide; the one elsewhere, where known.
+/// Why the agreement on this host could not decide: it does not lead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoLeader {
     /// Another host leads.
     Elsewhere(HostId),
     /// No leader is known.
     Unknown,
-    /// The leader was lost on the way: the command may be accepted or not.
+    /// Leadership was lost before the outcome was known: the command may be accepted or not.
     Uncertain,
 }
 
@@ -30,38 +30,38 @@
     AddMember { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
     Join { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
     Status(oneshot::Sender<DriverStatus>),
-    Look(Box<dyn FnOnce(&State) + Send>, oneshot::Sender<NoLeader>),
+    Inspect(Box<dyn FnOnce(&State) + Send>, oneshot::Sender<NoLeader>),
 }
 
-/// The agreement's state for reports.
+/// The state of the agreement, for status reports.
 #[derive(Clone, Debug)]
 pub struct DriverStatus {
-    /// Of the state machine.
+    /// Status of the consensus replica.
     pub replica: Status,
-    /// How far each store's log matches, on the leader.
+    /// On the leader, the index up to which each store's log matches its own.
     pub matched: BTreeMap<StoreId, u64>,
-    /// Claims held.
+    /// Number of claims held.
     pub claims: usize,
 }
 
-/// Asks the agreement.
+/// Sends proposals, reads and membership changes to the agreement's driver.
 #[derive(Clone, Debug)]
 pub struct Handle {
     /// This host's store.
     pub store: StoreId,
-    /// Who leads, as this store knows it.
+    /// The current leadership, as this store knows it.
     pub leadership: watch::Receiver<Leadership>,
     pub(super) events: mpsc::Sender<Event>,
 }
 
-/// Who leads the agreement, as one store knows it.
+/// The leadership of the group, as one store knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leadership {
-    /// The term.
+    /// The current term.
     pub term: u64,
     /// The leader's host, where known.
     pub leader: Option<HostId>,
-    /// Whether all that was accepted before this term is applied here.
+    /// Whether every entry accepted before this term is applied here.
     pub has_caught_up: bool,
     /// Whether this store leads.
     pub leads: bool,
@@ -94,67 +94,67 @@
         receiver.await.unwrap_or(Err(NoLeader::Uncertain))
     }
 
-    /// Waits until all that was accepted before now has been applied here, on
-    /// the leader.
+    /// Waits until this leader has applied everything that was accepted before the call, so
+    /// that a following `inspect` is linearizable.
     pub async fn read(&self) -> Result<(), NoLeader> {
         let (sender, receiver) = oneshot::channel();
         self.send(Event::Read(sender)).await;
         receiver.await.unwrap_or(Err(NoLeader::Uncertain))
     }
 
-    /// A message from another store, and the host that holds it.
+    /// Delivers a message from another store, with the host of that store and its peer address.
     pub async fn receive(&self, envelope: Envelope, host: HostId, peer: SocketAddr) {
         self.send(Event::Receive { envelope, host, peer }).await;
     }
 
-    /// Founds a new group, unless this store belongs to one.
+    /// Bootstraps a group with these members, unless this store already belongs to one.
     pub async fn bootstrap(&self, members: Vec<GroupMember>) {
         self.send(Event::Bootstrap(members)).await;
     }
 
-    /// Lets a store into the group; false while another change is under way.
+    /// Adds a store to the group; false while another change of the group is under way.
     pub async fn add_member(&self, newcomer: GroupMember) -> Result<bool, NoLeader> {
         let (reply, receiver) = oneshot::channel();
         self.send(Event::AddMember { newcomer, reply }).await;
         receiver.await.unwrap_or(Err(NoLeader::Uncertain))
     }
 
-    /// Lets a store in that asks to join; false while another change is under
-    /// way.
+    /// Adds a store that asked to join; false while another change of the group is under way.
     pub async fn join(&self, newcomer: GroupMember) -> Result<bool, NoLeader> {
         let (reply, receiver) = oneshot::channel();
         self.send(Event::Join { newcomer, reply }).await;
         receiver.await.unwrap_or(Err(NoLeader::Uncertain))
     }
 
-    /// The agreement's state.
+    /// The state of the agreement; none when the driver has stopped.
     pub async fn status(&self) -> Option<DriverStatus> {
         let (sender, receiver) = oneshot::channel();
         self.send(Event::Status(sender)).await;
         receiver.await.ok()
     }
 
-    /// Looks at the state as applied here, if this store leads as far as it
-    /// knows. Others lag by a heartbeat, a new leader by a little.
-    pub async fn look<T: Send + 'static>(
+    /// Evaluates `f` on the state applied here, if this store leads as far as it knows. A store
+    /// that lost its leadership notices about a heartbeat later, and a new leader may not yet
+    /// have applied everything: call `read` first where this matters.
+    pub async fn inspect<T: Send + 'static>(
         &self,
         f: impl FnOnce(&State) -> T + Send + 'static,
     ) -> Result<T, NoLeader> {
         let (sender, receiver) = oneshot::channel();
         let (refuse, refused) = oneshot::channel();
-        let look = move |state: &State| {
-            // The asker may have left.
+        let inspect = move |state: &State| {
+            // The caller may have given up.
             let _ = sender.send(f(state));
         };
-        self.send(Event::Look(Box::new(look), refuse)).await;
+        self.send(Event::Inspect(Box::new(inspect), refuse)).await;
         match receiver.await {
-            Ok(seen) => Ok(seen),
+            Ok(value) => Ok(value),
             Err(_) => Err(refused.await.unwrap_or(NoLeader::Unknown)),
         }
     }
 
     async fn send(&self, event: Event) {
-        // When the driver has stopped, the answer's channel closes.
+        // When the driver has stopped, the reply channel closes and the caller sees that.
         let _ = self.events.send(event).await;
     }
 }
--- a/src/control/join.rs
+++ b/src/control/join.rs
@@ -1,5 +1,5 @@
-//! How a store without a group, or one that its group has replaced, asks to be
-//! let in.
+//! Requests membership for a store without a group or one that its group has replaced, and
+//! answers such requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,39 +13,39 @@
 use crate::error::Result;
 use crate::wire::{HostId, Open, Role, write_frame};
 
-/// How often a store looks whether it has a leader.
-const PAUSE: Duration = Duration::from_millis(300);
-/// How long a store waits for a leader before it asks to be let in.
-const PATIENCE: Duration = Duration::from_millis(2_500);
-/// How long one call may take.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often a store checks whether it has a leader.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// How long a store goes without a leader before it asks to join.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time limit of one join request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a store that asks to join is told.
+/// The answer to a store that asks to join.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Joined {
-    /// It is a member.
+pub enum JoinReply {
+    /// The store is a member.
     Member,
-    /// Ask again.
+    /// Ask again later: another change of the group is under way, or its outcome is unknown.
     Later,
-    /// Ask the leader; the host, where known.
+    /// This host does not lead. Holds the leader's host, where known.
     Elsewhere(Option<HostId>),
 }
 
-/// Asks to be let in whenever no leader has been heard of for a while.
+/// Asks to join whenever no leader is known for `LEADER_TIMEOUT`.
 pub(super) async fn keep_joined(control: Arc<Control>) {
     let leadership = control.handle.leadership.clone();
-    let mut since = Instant::now();
+    let mut last_leader_at = Instant::now();
     loop {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if leadership.borrow().leader.is_some() {
-            since = Instant::now();
-        } else if since.elapsed() >= PATIENCE {
-            ask(&control).await;
+            last_leader_at = Instant::now();
+        } else if last_leader_at.elapsed() >= LEADER_TIMEOUT {
+            request_join(&control).await;
         }
     }
 }
 
-async fn ask(control: &Control) {
+async fn request_join(control: &Control) {
     let view = control.peers.view();
     for member in view.with_role(Role::Control).filter(|m| m.host != control.peers.me) {
         let newcomer = GroupMember {
@@ -55,41 +55,41 @@
             voter: false,
             replaces: None,
         };
-        let call = call(control, member.peer, newcomer);
-        if let Ok(Ok(Joined::Member)) = tokio::time::timeout(CALL_TIMEOUT, call).await {
-            log::info!("control: let in by host {}", member.host);
+        let reply = send_request(control, member.peer, newcomer);
+        if let Ok(Ok(JoinReply::Member)) = tokio::time::timeout(REQUEST_TIMEOUT, reply).await {
+            log::info!("control: joined the group through host {}", member.host);
             return;
         }
     }
 }
 
-async fn call(
+async fn send_request(
     control: &Control,
     address: std::net::SocketAddr,
     newcomer: GroupMember,
-) -> Result<Joined> {
+) -> Result<JoinReply> {
     let (mut reader, _writer) = control.peers.connect(address, &Open::Join(newcomer)).await?;
     reader.next().await
 }
 
-/// Answers a store that asks.
+/// Answers a store that asks to join.
 pub(super) async fn answer(
     control: Arc<Control>,
     newcomer: GroupMember,
     mut writer: OwnedWriteHalf,
 ) {
-    let joined = match control.handle.join(newcomer.clone()).await {
-        Ok(true) => Joined::Member,
-        Ok(false) | Err(NoLeader::Uncertain) => Joined::Later,
-        Err(NoLeader::Unknown) => Joined::Elsewhere(None),
-        Err(NoLeader::Elsewhere(host)) => Joined::Elsewhere(Some(host)),
+    let reply = match control.handle.join(newcomer.clone()).await {
+        Ok(true) => JoinReply::Member,
+        Ok(false) | Err(NoLeader::Uncertain) => JoinReply::Later,
+        Err(NoLeader::Unknown) => JoinReply::Elsewhere(None),
+        Err(NoLeader::Elsewhere(host)) => JoinReply::Elsewhere(Some(host)),
     };
     log::info!(
-        "control: host {} asks to join with store {}: {joined:?}",
+        "control: host {} asks to join with store {}: {reply:?}",
         newcomer.host,
         newcomer.store
     );
-    if let Err(error) = write_frame(&mut writer, &joined).await {
-        log::debug!("control: a join call broke off: {error}");
+    if let Err(error) = write_frame(&mut writer, &reply).await {
+        log::debug!("control: a join request ended early: {error}");
     }
 }
--- a/src/control/published.rs
+++ b/src/control/published.rs
@@ -1,4 +1,4 @@
-//! Where the agreed state is published to the other parts of a control host.
+//! Publishes the agreed state to the other parts of a control host.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 use crate::feed::Followed;
 use crate::spread::Configs;
 
-/// What the other parts of a control host know of the agreed state.
-pub(super) struct Published {
+/// The agreed state as the other parts of a control host see it.
+pub(super) struct PublishedState {
     pub configs: Arc<Configs>,
     pub followed: Followed,
 }
 
-impl Published {
-    /// Takes the newest state over.
-    pub fn adopt(&self, state: &State) {
+impl PublishedState {
+    /// Publishes the newest state.
+    pub fn update(&self, state: &State) {
         let followed = &self.followed;
         self.configs.replace(state.history().clone());
         if let Some(document) = state.document() {
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -1,21 +1,21 @@
-//! Orders to roll a release of a service out, and what became of them.
+//! Orders to roll out a release of a service, and their state.
 
 use std::time::Duration;
 
 use super::Control;
-use super::documents::{CallError, unexpected};
+use super::documents::{CallError, unexpected_reply};
 use super::state::{Command, Reply};
 use crate::clock::epoch_ms;
 use crate::config::Refusal;
 use crate::rollout::{Order, OrderOutcome, Rollout, Stage};
 use crate::telemetry::render_gauges;
 
-/// Longest name of a release, in bytes: it stands in every message about its endpoints.
-const MOST_VERSION_BYTES: usize = 64;
-/// Shortest time for a roll-out: less is over before its answers are reported.
-const LEAST_DURATION: Duration = Duration::from_secs(1);
-/// Longest time for a roll-out; more is taken for a mistake in the unit.
-const MOST_DURATION: Duration = Duration::from_secs(7 * 24 * 3_600);
+/// Longest name of a release, in bytes: every message about its endpoints contains it.
+const MAX_VERSION_BYTES: usize = 64;
+/// Shortest duration of a roll-out: a shorter one would end before routers report its answers.
+const MIN_DURATION: Duration = Duration::from_secs(1);
+/// Longest duration of a roll-out: a longer one is assumed to be a mistake in the unit.
+const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3_600);
 
 fn refusal(field: &str, problem: &str, remedy: &str) -> CallError {
     CallError::Invalid(Refusal {
@@ -31,18 +31,18 @@
     }
     let is_legal = |c: char| c.is_ascii_alphanumeric() || "._-+".contains(c);
     let is_version = !version.is_empty() && version.chars().all(is_legal);
-    if !is_version || version.len() > MOST_VERSION_BYTES {
+    if !is_version || version.len() > MAX_VERSION_BYTES {
         let remedy = "give 1 to 64 letters, digits, dots, dashes, underscores or pluses";
         return Err(refusal("version", "is not the name of a release", remedy));
     }
-    if duration < LEAST_DURATION || duration > MOST_DURATION {
+    if duration < MIN_DURATION || duration > MAX_DURATION {
         return Err(refusal("duration", "is too short or too long", "give 1 s to 7 days"));
     }
     Ok(())
 }
 
 impl Control {
-    /// Takes an order to roll a release out, which is on the disks of a majority then.
+    /// Accepts an order to roll out a release, once it is on the disks of a majority.
     /// The same order sent again changes nothing.
     pub async fn order_rollout(
         &self,
@@ -51,7 +51,7 @@
         duration: Duration,
     ) -> Result<(), CallError> {
         check(service, version, duration)?;
-        // Before the first document no service is known, which is no fault of the order.
+        // Before the first document no service is known, so the order cannot be judged yet.
         if self.read_document().await?.is_none() {
             return Err(CallError::Uncertain);
         }
@@ -62,18 +62,18 @@
             duration_ms: duration.as_millis() as u64,
         };
         match self.handle.propose(Command::StartRollout(order)).await? {
-            Reply::Rollout(ordered) => {
+            Reply::Rollout(outcome) => {
                 let seconds = duration.as_secs_f64();
                 log::info!(
-                    "rollout: order of {version} for {service} within {seconds} s: {ordered:?}"
+                    "rollout: order of {version} for {service} within {seconds} s: {outcome:?}"
                 );
-                match ordered {
+                match outcome {
                     OrderOutcome::Taken => Ok(()),
                     OrderOutcome::UnderWay => Err(CallError::UnderWay),
                     OrderOutcome::UnknownService => Err(CallError::UnknownService),
                 }
             }
-            other => Err(unexpected(&other)),
+            other => Err(unexpected_reply(&other)),
         }
     }
 
@@ -81,27 +81,30 @@
     pub async fn read_rollout(&self, service: &str) -> Result<Rollout, CallError> {
         self.handle.read().await?;
         let name = service.to_string();
-        let rollout = self.handle.look(move |state| state.rollouts().get(&name).cloned()).await?;
+        let rollout =
+            self.handle.inspect(move |state| state.rollouts().get(&name).cloned()).await?;
         rollout.ok_or(CallError::NoRollout)
     }
 
-    /// Roll-outs under way as this host knows them, and what it counts where it leads.
+    /// Metrics: the number of roll-outs in each stage as this host knows them and, on the leader,
+    /// the totals of the roll-outs that it conducts.
     pub(super) fn render_rollout_metrics(&self) -> String {
         let table = self.rollouts.table();
         let count = |stage| table.all().filter(|rollout| rollout.stage == stage).count() as u64;
         let all = super::rollout_controller::progress(self);
-        let sum = |of: fn(&crate::rollout::Progress) -> u64| all.values().map(of).sum::<u64>();
+        let sum =
+            |field: fn(&crate::rollout::Progress) -> u64| all.values().map(field).sum::<u64>();
         let figures = [
             ("canary", count(Stage::Canary)),
             ("shifting", count(Stage::Shifting)),
             ("done", count(Stage::Done)),
             ("rolled_back", count(Stage::RolledBack)),
             ("led", all.len() as u64),
-            ("permille", sum(|one| u64::from(one.permille))),
-            ("sent_new", sum(|one| one.sent_new)),
-            ("sent_old", sum(|one| one.sent_old)),
-            ("failed_new", sum(|one| one.failed_new)),
-            ("failed_old", sum(|one| one.failed_old)),
+            ("permille", sum(|progress| u64::from(progress.permille))),
+            ("sent_new", sum(|progress| progress.sent_new)),
+            ("sent_old", sum(|progress| progress.sent_old)),
+            ("failed_new", sum(|progress| progress.failed_new)),
+            ("failed_old", sum(|progress| progress.failed_old)),
         ];
         render_gauges("bramblecrank_control_rollouts", &figures)
     }
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -1,4 +1,5 @@
-//! Connections that other hosts open to a control host.
+//! Serves connections that other hosts open to a control host: agreement messages, identity
+//! requests and claims.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +9,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::Control;
-use super::documents::unexpected;
+use super::documents::unexpected_reply;
 use super::handle::NoLeader;
 use super::state::{Command, Reply};
 use crate::agree::{Envelope, StoreId};
@@ -22,61 +23,61 @@
 pub struct Identity {
     /// The host.
     pub host: HostId,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub peer: SocketAddr,
-    /// Its store.
+    /// The id of its store.
     pub store: StoreId,
     /// Whether the store belongs to a group.
     pub is_bootstrapped: bool,
 }
 
-/// What a router asks about a run-once call.
+/// What a router requests for the claim of a run-once call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAction {
-    /// How the key stands, without claiming it; the answer may lag.
+    /// Look up the state of the key without claiming it. The answer may be out of date.
     Lookup,
-    /// To claim it.
+    /// Claim the key.
     Claim,
-    /// To settle it.
+    /// Settle the claim.
     Settle(Settlement),
 }
 
 /// A numbered request about a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// Number, echoed in the answer.
+    /// Number of the request on its connection, repeated in the answer.
     pub number: u64,
     /// The claim.
     pub claim: Claim,
-    /// What is asked.
+    /// What to do with it.
     pub action: ClaimAction,
 }
 
-/// What a claim request gets.
+/// The outcome of a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// The claim was decided, or how it stands.
+    /// The decision on the claim or, for a lookup, the state of the key.
     Claimed(Claimed),
-    /// Nobody holds the key.
+    /// The key is not claimed.
     Free,
-    /// The settlement is on a majority's disks.
+    /// The settlement is on the disks of a majority.
     Settled,
-    /// This host does not lead; the leader, where known.
+    /// This host does not lead. Holds the leader's host, where known.
     Elsewhere(Option<HostId>),
-    /// The leader was lost on the way: ask again.
+    /// Leadership was lost before the outcome was known: send the request again.
     Uncertain,
 }
 
-/// A numbered answer.
+/// The answer to a `ClaimRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimAnswer {
-    /// The request's number.
+    /// Number of the request.
     pub number: u64,
-    /// The answer.
+    /// Its outcome.
     pub outcome: ClaimOutcome,
 }
 
-pub(super) async fn take_envelopes(
+pub(super) async fn receive_envelopes(
     control: Arc<Control>,
     host: HostId,
     peer: SocketAddr,
@@ -84,8 +85,8 @@
     writer: OwnedWriteHalf,
 ) {
     let sent = control.peers.sent.of(Traffic::Agreement);
-    // Its end is the connection's, which the reader sees.
-    let _keeping = AbortOnDropHandle::new(tokio::spawn(keep_alive(writer, sent)));
+    // The reader sees when the connection ends, and this task is then aborted.
+    let _keep_alive = AbortOnDropHandle::new(tokio::spawn(keep_alive(writer, sent)));
     while let Ok(batch) = reader.next::<Vec<Envelope>>().await {
         if control.peers.links.is_cut_from(host) {
             continue;
@@ -109,11 +110,11 @@
 pub(super) async fn identify(control: Arc<Control>, mut writer: OwnedWriteHalf) {
     let identity = own_identity(&control).await;
     if let Err(error) = write_frame(&mut writer, &identity).await {
-        log::debug!("control: an identify call broke off: {error}");
+        log::debug!("control: an identity request ended early: {error}");
     }
 }
 
-pub(super) async fn take_claims(
+pub(super) async fn serve_claims(
     control: Arc<Control>,
     router: HostId,
     mut reader: PeerReader,
@@ -132,7 +133,7 @@
             let answers = answers.clone();
             tokio::spawn(async move {
                 let number = request.number;
-                let outcome = answer(&control, request).await;
+                let outcome = handle_claim(&control, request).await;
                 // The router may have left.
                 let _ = answers.send(ClaimAnswer { number, outcome }.into());
             });
@@ -140,16 +141,16 @@
     }
 }
 
-async fn answer(control: &Control, request: ClaimRequest) -> ClaimOutcome {
+async fn handle_claim(control: &Control, request: ClaimRequest) -> ClaimOutcome {
     let at_ms = epoch_ms();
     let ClaimRequest { claim, action, .. } = request;
     let command = match action {
         ClaimAction::Lookup => {
-            let look = control.handle.look(move |state| state.claims().look(&claim)).await;
-            return match look {
+            let found = control.handle.inspect(move |state| state.claims().look(&claim)).await;
+            return match found {
                 Ok(Some(claimed)) => ClaimOutcome::Claimed(claimed),
                 Ok(None) => ClaimOutcome::Free,
-                Err(no_leader) => elsewhere(no_leader),
+                Err(no_leader) => no_leader_outcome(no_leader),
             };
         }
         ClaimAction::Claim => Command::Claim { at_ms, claim },
@@ -159,14 +160,14 @@
         Ok(Reply::Claimed(claimed)) => ClaimOutcome::Claimed(claimed),
         Ok(Reply::Settled) => ClaimOutcome::Settled,
         Ok(other) => {
-            unexpected(&other);
+            unexpected_reply(&other);
             ClaimOutcome::Uncertain
         }
-        Err(no_leader) => elsewhere(no_leader),
+        Err(no_leader) => no_leader_outcome(no_leader),
     }
 }
 
-fn elsewhere(no_leader: NoLeader) -> ClaimOutcome {
+fn no_leader_outcome(no_leader: NoLeader) -> ClaimOutcome {
     match no_leader {
         NoLeader::Elsewhere(host) => ClaimOutcome::Elsewhere(Some(host)),
         NoLeader::Unknown => ClaimOutcome::Elsewhere(None),
--- a/src/control/tests/folder.rs
+++ b/src/control/tests/folder.rs
@@ -1,4 +1,4 @@
-//! A control host's driver on a data folder that another release wrote.
+//! Starting the driver of a control host with a data folder that an earlier release wrote.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use super::format::{document, old_commands, old_state};
 use crate::agree::{Entry, GroupMember, HardState, Payload, Persist, Snapshot};
 use crate::control::driver;
-use crate::control::published::Published;
+use crate::control::published::PublishedState;
 use crate::error::{Error, Result};
 use crate::feed::Followed;
 use crate::registry::SharedRegistry;
@@ -18,7 +18,8 @@
 use crate::testing::{peer_address, start_peers, wait_until};
 use crate::wire::{HostId, Role};
 
-/// A folder whose only store holds this snapshot and these commands behind it.
+/// A data folder whose group has one store, with this snapshot at entry 9 and these commands as
+/// entries after it.
 fn folder(host: u8, data: Vec<u8>, commands: Vec<Vec<u8>>) -> TempDir {
     let folder = TempDir::new().unwrap();
     let (mut disk, _) = Disk::open(folder.path()).unwrap();
@@ -62,7 +63,7 @@
     let configs = Arc::new(Configs::default());
     let followed = Followed::default();
     let Followed { documents, registry, .. } = followed.clone();
-    let published = Published { configs: configs.clone(), followed };
+    let published = PublishedState { configs: configs.clone(), followed };
     let (disk, found) = Disk::open(folder.path())?;
     let (_handle, task) = driver::start(&settings(folder, host), peers, published, disk, found)?;
     Ok(Started { configs, documents, registry, task, _handle })
@@ -73,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_folder_of_the_release_before_is_taken_up() {
+async fn a_driver_starts_with_a_folder_of_the_first_release() {
     let folder = folder(81, old_state(), old_commands());
     let started = start(&folder, 81).await.unwrap();
     wait_until(|| version(&started.documents) == 6).await;
@@ -83,16 +84,16 @@
 }
 
 #[tokio::test]
-async fn a_snapshot_that_cannot_be_read_is_an_error_at_the_start() {
+async fn an_unreadable_snapshot_is_an_error_at_the_start() {
     let folder = folder(82, b"garbage".to_vec(), vec![]);
     assert!(matches!(start(&folder, 82).await, Err(Error::Unreadable { .. })));
 }
 
 #[tokio::test]
-async fn a_command_that_cannot_be_read_ends_the_driver_with_an_error() {
+async fn an_unreadable_command_ends_the_driver_with_an_error() {
     let folder = folder(83, old_state(), vec![b"garbage".to_vec()]);
     let started = start(&folder, 83).await.unwrap();
     let ended = started.task.await.expect("no panic");
-    let error = ended.expect_err("it cannot go on").to_string();
+    let error = ended.expect_err("the command does not decode").to_string();
     assert!(error.starts_with("the agreed command at entry 10 "), "{error}");
 }
--- a/src/control/courier.rs
+++ b/src/control/transport.rs
@@ -1,4 +1,4 @@
-//! Carries agreement messages to the other stores' hosts.
+//! Sends agreement messages to the hosts of the other stores.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,55 +14,57 @@
 use crate::peer::{PeerReader, Peers};
 use crate::wire::{HostId, Open, Traffic, write_frame};
 
-/// Messages that may wait for one host; more are dropped, as by a network.
-const OUTBOX: usize = 1_024;
-/// How long to wait after a failed connection.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How long one write may take.
+/// Most messages queued for one host. Further ones are dropped: the agreement tolerates lost
+/// messages.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+/// Pause after a failed attempt to connect.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
+/// Time limit of one write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One task for each host that messages go to.
-pub(super) struct Couriers {
+/// Queues and sends messages, with one task for each destination host.
+pub(super) struct Transport {
     peers: Arc<Peers>,
-    heard: HashMap<StoreId, (HostId, SocketAddr)>,
-    outboxes: HashMap<(HostId, SocketAddr), mpsc::Sender<Envelope>>,
+    /// Host and peer address of each store that sent a message to this one.
+    addresses: HashMap<StoreId, (HostId, SocketAddr)>,
+    queues: HashMap<(HostId, SocketAddr), mpsc::Sender<Envelope>>,
 }
 
-impl Couriers {
-    pub fn new(peers: Arc<Peers>) -> Couriers {
-        Couriers { peers, heard: HashMap::new(), outboxes: HashMap::new() }
+impl Transport {
+    pub fn new(peers: Arc<Peers>) -> Transport {
+        Transport { peers, addresses: HashMap::new(), queues: HashMap::new() }
     }
 
-    /// A store was heard from. A store that belongs to no group yet finds the
-    /// others only by this.
-    pub fn learn(&mut self, store: StoreId, host: HostId, peer: SocketAddr) {
-        self.heard.insert(store, (host, peer));
+    /// Records the address of a store that sent a message. A store that belongs to no group
+    /// yet has no member list and learns the addresses of the others only from this.
+    pub fn record_address(&mut self, store: StoreId, host: HostId, peer: SocketAddr) {
+        self.addresses.insert(store, (host, peer));
     }
 
-    /// Sends messages; those for unknown stores are dropped.
+    /// Queues messages for sending. Those for stores with no known address are dropped.
     pub fn send(&mut self, members: &[GroupMember], messages: Vec<Envelope>) {
         for envelope in messages {
             let member = members.iter().find(|m| m.store == envelope.to);
             let member = member.map(|m| (m.host, m.peer));
-            let Some(to) = member.or_else(|| self.heard.get(&envelope.to).copied()) else {
+            let Some(to) = member.or_else(|| self.addresses.get(&envelope.to).copied()) else {
                 continue;
             };
-            let outbox = self.outboxes.entry(to).or_insert_with(|| {
-                let (sender, messages) = mpsc::channel(OUTBOX);
-                tokio::spawn(carry(self.peers.clone(), to.0, to.1, messages));
+            let queue = self.queues.entry(to).or_insert_with(|| {
+                let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+                tokio::spawn(send_queued(self.peers.clone(), to.0, to.1, messages));
                 sender
             });
-            // A full outbox loses messages; the agreement repeats what matters.
-            let _ = outbox.try_send(envelope);
+            // A full queue drops the message; the agreement resends what is still needed.
+            let _ = queue.try_send(envelope);
         }
     }
 }
 
-/// A connection to another store's host. It only writes; the keep-alives that the host
-/// sends back say whether it still works.
+/// A connection to the host of another store. This side only writes; it notices a broken
+/// connection by the absence of the keep-alives that the other host sends.
 struct Connection {
     writer: OwnedWriteHalf,
-    /// Ends with the connection.
+    /// Finishes when the connection ends, with the reason.
     reading: AbortOnDropHandle<Error>,
 }
 
@@ -86,7 +88,7 @@
     }
 }
 
-/// Reads keep-alives until they stay away or the connection ends; why.
+/// Reads keep-alives until none arrives in time or the connection ends, and returns why.
 async fn read_to_end(reader: PeerReader) -> Error {
     let mut reader = reader.ends_when_silent();
     loop {
@@ -96,7 +98,7 @@
     }
 }
 
-async fn carry(
+async fn send_queued(
     peers: Arc<Peers>,
     host: HostId,
     address: SocketAddr,
@@ -112,15 +114,15 @@
             continue;
         }
         if let Some(ended) = connection.take_if(|c: &mut Connection| c.has_ended()) {
-            let why = ended.reading.await;
-            let why = why.map_or_else(|panic| panic.to_string(), |error| error.to_string());
-            log::info!("control: connection to host {host} has ended: {why}");
+            let reason = ended.reading.await;
+            let reason = reason.map_or_else(|panic| panic.to_string(), |error| error.to_string());
+            log::info!("control: connection to host {host} ended: {reason}");
         }
         if connection.is_none() {
             connection = Connection::open(&peers, host, address).await;
         }
         let Some(Connection { writer, .. }) = &mut connection else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RECONNECT_PAUSE).await;
             continue;
         };
         let written = tokio::time::timeout(WRITE_TIMEOUT, write_frame(writer, &batch)).await;
