--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -8,13 +8,13 @@
 use std::time::Instant;
 
 use bramblecrank::agree::{Entry, Payload, Persist};
-use bramblecrank::claim::{Attempt, Claim, Settlement, Table};
+use bramblecrank::claim::{Attempt, Claim, ClaimTable, Settlement};
 use bramblecrank::config::{
     Change, Config, Customer, CustomerId, Document, Endpoint, HallSet, History, ServiceId,
 };
 use bramblecrank::control::{Command, State};
 use bramblecrank::dispatch::{Decision, Dispatcher};
-use bramblecrank::member::Table as Members;
+use bramblecrank::member::MemberTable as Members;
 use bramblecrank::quarantine::{
     CrashAnalysis, CrashReport, Fingerprint, Observation, ObservedEvent, QuarantineState,
     Quarantines, Verdict,
@@ -86,7 +86,7 @@
     let done = ToDispatcher::Done { seq: 100_000, units: 1_500, completion: Completion::Answered };
     row("done", 1, bytes(&done), "B");
     row("progress", 1, bytes(&ToDispatcher::Progress { seq: 100_000, units: 1_500 }), "B");
-    row("whole heartbeat", 1, bytes(&Beat::Whole(beat(7))), "B");
+    row("whole heartbeat", 1, bytes(&Beat::Full(beat(7))), "B");
     let brief = Beat::Brief {
         host: HostId(7),
         incarnation: 1_796_205_361_634,
@@ -164,7 +164,7 @@
     for hosts in [10u32, 50, 200, 340] {
         let mut table = Members::new(beat(0), vec![], Default::default());
         for host in 1..hosts {
-            table.heard(0, beat(host).peer, Beat::Whole(beat(host)));
+            table.on_heartbeat(0, beat(host).peer, Beat::Full(beat(host)));
         }
         let start = Instant::now();
         for round in 0..200 {
@@ -172,7 +172,7 @@
                 let host = HostId(h);
                 let incarnation = 1_796_205_361_634;
                 let brief = Beat::Brief { host, incarnation, version: 1, draining: false };
-                table.heard(round, beat(h).peer, brief);
+                table.on_heartbeat(round, beat(h).peer, brief);
             }
         }
         let beats = f64::from(hosts - 1) * 200.0;
@@ -222,7 +222,7 @@
 fn claims() {
     title("Claims: size and processor time");
     for count in [1_000u64, 10_000, 100_000] {
-        let mut table = Table::default();
+        let mut table = ClaimTable::default();
         let start = Instant::now();
         for n in 0..count {
             table.claim(n, &claim(n));
--- a/src/control.rs
+++ b/src/control.rs
@@ -30,7 +30,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::error::{Error, Result};
-use crate::feed::{self, Followed, Followers, Publication, Subscriptions};
+use crate::feed::{self, FleetState, Publication, Subscribers, Subscriptions};
 use crate::peer::{Incoming, PeerReader, Peers};
 use crate::placement::{self, PlacerHandle};
 use crate::quarantine::SharedQuarantine;
@@ -77,7 +77,7 @@
     /// The placer that runs here.
     pub placement: PlacerHandle,
     /// The hosts that follow a feed of this host.
-    pub followers: Arc<Followers>,
+    pub subscribers: Arc<Subscribers>,
     /// Handle to the agreement of the control group.
     pub handle: Handle,
     /// Cancelled for a planned stop, by a call of an operator or by a signal.
@@ -86,8 +86,8 @@
 
 impl Control {
     /// The state that this host publishes in its feeds and receives from those of other hosts.
-    fn followed(&self) -> Followed {
-        Followed {
+    fn fleet_state(&self) -> FleetState {
+        FleetState {
             documents: self.documents.clone(),
             registry: self.registry.clone(),
             rollouts: self.rollouts.clone(),
@@ -135,14 +135,14 @@
     let role = Role::Control;
     let (peers, incoming) = Peers::start(&settings.host, role, settings.operator).await?;
     let configs = Arc::new(Configs::default());
-    let followed = Followed::default();
-    let Followed { documents, registry, rollouts, quarantine } = followed.clone();
+    let fleet_state = FleetState::default();
+    let FleetState { documents, registry, rollouts, quarantine } = fleet_state.clone();
     registry.remember(saved::load(&settings.data));
     tokio::spawn(saved::keep_saved(registry.clone(), settings.data.clone()));
     let (handle, driver) = driver::start(
         &settings,
         peers.clone(),
-        PublishedState { configs: configs.clone(), followed },
+        PublishedState { configs: configs.clone(), fleet_state },
         disk,
         found,
     )?;
@@ -169,7 +169,7 @@
         rollouts,
         quarantine,
         rollout_progress: Mutex::default(),
-        followers: Arc::default(),
+        subscribers: Arc::default(),
         handle,
         stop: stop.clone(),
     });
@@ -183,7 +183,7 @@
         tokio::spawn(join::keep_joined(control.clone()));
         Subscriptions::start(
             control.peers.clone(),
-            control.followed(),
+            control.fleet_state(),
             &control.settings.host.hall,
             Role::Control,
         );
@@ -206,11 +206,11 @@
             Open::Agree { host, peer } => {
                 tokio::spawn(serve::receive_envelopes(control.clone(), host, peer, reader, writer));
             }
-            Open::Pull { have, .. } => {
+            Open::Pull { held_version, .. } => {
                 tokio::spawn(spread::answer_pull(
                     control.configs.clone(),
                     control.peers.sent.clone(),
-                    have,
+                    held_version,
                     writer,
                 ));
             }
@@ -244,11 +244,11 @@
 ) {
     let publication = Publication {
         subscriber: host,
-        followed: control.followed(),
+        fleet_state: control.fleet_state(),
         leadership: control.handle.leadership.clone(),
         view: control.peers.watch(),
         numbering: control.peers.incarnation,
-        followers: control.followers.clone(),
+        subscribers: control.subscribers.clone(),
     };
     let published = feed::publish(publication, control.peers.sent.clone(), reader, writer);
     if let Err(error) = published.await {
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -54,7 +54,7 @@
     let state = decode_state(&found.snapshot.data, found.snapshot.index)?;
     let applied_index = found.snapshot.index;
     let mut replica = Replica::new(now, store, found.hard, found.snapshot, found.entries, seed);
-    replica.set_most_voters(settings.most_voters());
+    replica.set_max_voters(settings.most_voters());
     let status = watch::Sender::new(Leadership::of(&replica));
     let leadership = status.subscribe();
     let driver = Driver {
@@ -142,7 +142,7 @@
         while let Some(unsynced) = self.unsynced.pop_front_if(|u| u.job <= job) {
             self.send_messages(unsynced.messages);
             let (index, term) = unsynced.last_entry;
-            let out = self.replica.synced(index, term);
+            let out = self.replica.record_synced(index, term);
             self.execute(out)?;
         }
         Ok(())
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -10,11 +10,11 @@
 
 impl Driver {
     pub(super) fn bootstrap(&mut self, members: Vec<GroupMember>) -> Result<()> {
-        if self.replica.is_founded() {
+        if self.replica.is_bootstrapped() {
             return Ok(());
         }
         log::info!("control: bootstrapping the group with {} stores", members.len());
-        let records = Replica::founding(members);
+        let records = Replica::bootstrap_records(members);
         // The group exists once this job is synced; until then no message that depends on it
         // may be sent.
         let job = self.disk.write(records.clone());
@@ -31,7 +31,7 @@
         let seed = rand::rng().random();
         let no_snapshot = Snapshot::default();
         self.replica = Replica::new(now, self.store, hard, no_snapshot, entries, seed);
-        self.replica.set_most_voters(self.max_voters);
+        self.replica.set_max_voters(self.max_voters);
         let last_entry = self.replica.last_entry();
         self.unsynced.push_back(Unsynced { job, messages: Vec::new(), last_entry });
         Ok(())
--- a/src/control/legacy.rs
+++ b/src/control/legacy.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 
 use super::state::{self, ChangeOutcome};
-use crate::claim::{Claim, Settlement, Table};
+use crate::claim::{Claim, ClaimTable, Settlement};
 use crate::config::{Change, History};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::region::AllowedRegions;
@@ -33,7 +33,7 @@
     history: History,
     operations: HashMap<String, ChangeOutcome>,
     operations_by_age: VecDeque<String>,
-    claims: Table,
+    claims: ClaimTable,
 }
 
 impl CommonState {
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -13,7 +13,7 @@
 use super::handle::NoLeader;
 use super::state::{Command, Reply};
 use crate::agree::{Envelope, StoreId};
-use crate::claim::{Claim, Claimed, Settlement};
+use crate::claim::{Claim, ClaimOutcome, Settlement};
 use crate::clock::epoch_ms;
 use crate::peer::PeerReader;
 use crate::wire::{BatchWriter, HostId, Traffic, keep_alive, write_frame};
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
     /// The decision on the claim or, for a lookup, the state of the key.
-    Claimed(Claimed),
+    Claimed(ClaimOutcome),
     /// The key is not claimed.
     Free,
     /// The settlement is on the disks of a majority.
@@ -124,10 +124,10 @@
     let links = control.peers.links.clone();
     tokio::spawn(batch.run(writer, move || {
         let links = links.clone();
-        async move { links.clear_to(router).await }
+        async move { links.wait_until_clear_to(router).await }
     }));
     while let Ok(requests) = reader.next::<Vec<ClaimRequest>>().await {
-        control.peers.links.clear_from(router).await;
+        control.peers.links.wait_until_clear_from(router).await;
         for request in requests {
             let control = control.clone();
             let answers = answers.clone();
@@ -146,7 +146,7 @@
     let ClaimRequest { claim, action, .. } = request;
     let command = match action {
         ClaimAction::Lookup => {
-            let found = control.handle.inspect(move |state| state.claims().look(&claim)).await;
+            let found = control.handle.inspect(move |state| state.claims().lookup(&claim)).await;
             return match found {
                 Ok(Some(claimed)) => ClaimOutcome::Claimed(claimed),
                 Ok(None) => ClaimOutcome::Free,
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{Claim, Claimed, Settlement, Table};
+use crate::claim::{Claim, ClaimOutcome, ClaimTable, Settlement};
 use crate::config::{Change, History, Refusal};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::registry::DrainedHalls;
@@ -75,7 +75,7 @@
     /// The outcome of a configuration change.
     Changed(ChangeOutcome),
     /// The outcome of a claim.
-    Claimed(Claimed),
+    Claimed(ClaimOutcome),
     /// The settlement is recorded.
     Settled,
     /// The version of the routing document now in force: the submitted one, or one at
@@ -98,7 +98,7 @@
     pub(super) history: History,
     pub(super) operations: HashMap<String, ChangeOutcome>,
     pub(super) operations_by_age: VecDeque<String>,
-    pub(super) claims: Table,
+    pub(super) claims: ClaimTable,
     pub(super) document: Option<Arc<Document>>,
     pub(super) drained: DrainedHalls,
     pub(super) rollouts: Rollouts,
@@ -112,7 +112,7 @@
     }
 
     /// The claims of run-once calls.
-    pub fn claims(&self) -> &Table {
+    pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
--- a/src/control/transport.rs
+++ b/src/control/transport.rs
@@ -90,7 +90,7 @@
 
 /// Reads keep-alives until none arrives in time or the connection ends, and returns why.
 async fn read_to_end(reader: PeerReader) -> Error {
-    let mut reader = reader.ends_when_silent();
+    let mut reader = reader.with_silence_timeout();
     loop {
         if let Err(error) = reader.next_payload().await {
             return error;
@@ -110,7 +110,7 @@
         while let Ok(more) = messages.try_recv() {
             batch.push(more);
         }
-        if peers.links.is_cut(host) {
+        if peers.links.is_cut_to(host) {
             continue;
         }
         if let Some(ended) = connection.take_if(|c: &mut Connection| c.has_ended()) {
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -1,4 +1,4 @@
-//! A request's arrival: its route, its customer and its body.
+//! Admission of an arriving request: its route, its customer and its body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use rand::RngExt;
 
-use super::header_names::CallHead;
+use super::header_names::RequestHead;
 use super::refusal::Refusal;
 use super::request::Call;
 use super::state::Gateway;
@@ -18,15 +18,15 @@
 use crate::quarantine::Fingerprint;
 use crate::routing::{CustomerKeys, Route, Routing};
 
-/// Reads a request whole and finds where it belongs.
+/// Reads the complete request and resolves its route, customer and service.
 pub(super) async fn admit(
     gateway: &Arc<Gateway>,
     parts: Parts,
-    head: CallHead,
+    head: RequestHead,
     body: Incoming,
 ) -> Result<Call, Refusal> {
     let arrived = BootInstant::now();
-    let presence = gateway.enter();
+    let in_flight = gateway.track_request();
     if gateway.is_refusing() {
         return Err(Refusal::Stopping);
     }
@@ -42,24 +42,24 @@
     };
     let customer = customer.map(|customer| customer.name.clone());
     let timeout = Duration::from_millis(route.timeout_ms);
-    let deadline = head.deadline_ms.map_or(timeout, Duration::from_millis);
-    let limit = arrived + deadline.min(timeout);
+    let caller_timeout = head.deadline_ms.map_or(timeout, Duration::from_millis);
+    let deadline = arrived + caller_timeout.min(timeout);
     let limits = &routing.table.limits;
-    let body_limit = limit.min(arrived + Duration::from_millis(limits.header_timeout_ms));
+    let body_limit = deadline.min(arrived + Duration::from_millis(limits.header_timeout_ms));
     let body = read_body(body, limits.max_body_bytes, body_limit).await?;
     let fingerprint = fingerprint_of(customer.as_deref(), &parts, &body);
     let service = pick_service(&route).ok_or(Refusal::NoEndpoint)?;
     let now = gateway.now();
-    let routers = gateway.feeds.routers().max(gateway.rules.least_routers);
+    let routers = gateway.feeds.router_count().max(gateway.rules.least_routers);
     gateway.with_budgets(|budgets| {
         budgets.set_routers(routers);
-        budgets.request(now, &service);
+        budgets.record_request(now, &service);
     });
     let number = gateway.next_number();
-    let pool = routing.service(&service);
+    let config = routing.service(&service);
     Ok(Call {
-        is_engine: pool.is_some_and(|pool| pool.engine.is_some()),
-        cold_per_second: pool.and_then(|pool| pool.cold_per_second),
+        is_engine: config.is_some_and(|config| config.engine.is_some()),
+        cold_per_second: config.and_then(|config| config.cold_per_second),
         number,
         route,
         service,
@@ -71,9 +71,9 @@
         body,
         fingerprint,
         arrived,
-        limit,
-        turn: Default::default(),
-        _presence: presence,
+        deadline,
+        release_choice: Default::default(),
+        _in_flight: in_flight,
         gateway: gateway.clone(),
     })
 }
@@ -88,7 +88,7 @@
 fn find_customer<'a>(
     routing: &'a Routing,
     route: &Route,
-    head: &CallHead,
+    head: &RequestHead,
 ) -> Result<Option<&'a CustomerKeys>, Refusal> {
     if !routing.needs_keys() {
         return Ok(None);
@@ -106,7 +106,7 @@
     Fingerprint::of(customer.unwrap_or_default(), &[path], body)
 }
 
-/// A target of the route, at random by weight.
+/// A target of the route, chosen at random by weight.
 fn pick_service(route: &Route) -> Option<String> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     if total == 0 {
@@ -123,8 +123,8 @@
     None
 }
 
-async fn read_body(body: Incoming, most: usize, until: BootInstant) -> Result<Bytes, Refusal> {
-    let reading = Limited::new(body, most).collect();
+async fn read_body(body: Incoming, max_bytes: usize, until: BootInstant) -> Result<Bytes, Refusal> {
+    let reading = Limited::new(body, max_bytes).collect();
     let collected = tokio::time::timeout(until.remaining(), reading).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/gateway/placing.rs
+++ b/src/gateway/destination.rs
@@ -1,4 +1,4 @@
-//! Finding a place for a request.
+//! Choosing the endpoint that a request is sent to.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::placement::{self, PlacementOutcome, PlacementRequest, Reservation};
 use crate::registry::Registration;
 
-/// Times that a placer is asked for one place, where this router knows that the endpoint
-/// which the placer chose takes no work.
-const PLACEMENTS: usize = 3;
+/// Most requests to the placer for one destination, where this router knows that the
+/// endpoint chosen by the placer takes no work.
+const MAX_PLACEMENT_REQUESTS: usize = 3;
 
-/// Where a request goes next.
-pub(super) enum Place {
+/// Where a request is sent next.
+pub(super) enum Destination {
     /// To this endpoint.
-    At(Box<Registration>, Option<Reservation>),
-    /// No endpoint is known.
-    Nowhere,
+    Endpoint(Box<Registration>, Option<Reservation>),
+    /// No eligible endpoint is known.
+    NoEndpoint,
     /// It cannot be served in time.
     TooLate(placement::Refusal),
 }
 
 impl Call {
-    /// What decides between equal endpoints: the shared part of a prompt, else chance.
+    /// Breaks ties between endpoints: by the first part of the prompt, otherwise at random.
     fn preference(&self) -> Preference {
         match self.head.parts.first() {
             Some(part) => Preference::Affinity(part.id),
@@ -33,64 +33,66 @@
         }
     }
 
-    /// Finds a place for the request. Where there is none but at endpoints that are being
-    /// asked whether they take work, it waits for their answers a moment.
-    pub async fn place(&self, tried: &[String]) -> Place {
-        match self.place_by_release(tried).await {
-            Place::Nowhere if self.wait_for_start_checks(tried).await => {
-                self.place_by_release(tried).await
+    /// Chooses the endpoint for the request. Where all candidates are waiting for a start
+    /// check, it waits a moment for the checks to end and tries once more.
+    pub async fn choose_destination(&self, tried: &[String]) -> Destination {
+        match self.choose_by_release(tried).await {
+            Destination::NoEndpoint if self.wait_for_start_checks(tried).await => {
+                self.choose_by_release(tried).await
             }
-            place => place,
+            destination => destination,
         }
     }
 
-    /// Where the new release of a service has no place, another may have one.
-    async fn place_by_release(&self, tried: &[String]) -> Place {
-        let Some(eligibility) = self.eligibility() else { return Place::Nowhere };
+    /// Falls back to another release where the new release of a service has no place.
+    async fn choose_by_release(&self, tried: &[String]) -> Destination {
+        let Some(eligibility) = self.eligibility() else { return Destination::NoEndpoint };
         let mut request = self.placement_request(&eligibility, tried);
-        request.has_alternative = self.is_of_a_part(&eligibility.version);
-        match self.place_among(request, tried).await {
-            Place::At(endpoint, reservation) => Place::At(endpoint, reservation),
-            other if !self.gives_up_new(&eligibility.version, &other) => other,
+        request.has_alternative = self.is_partial_traffic(&eligibility.version);
+        match self.choose_among(request, tried).await {
+            Destination::Endpoint(endpoint, reservation) => {
+                Destination::Endpoint(endpoint, reservation)
+            }
+            other if !self.falls_back_from_new(&eligibility.version, &other) => other,
             _ => match self.eligibility() {
-                Some(others) => {
-                    let mut request = self.placement_request(&others, tried);
+                Some(other_releases) => {
+                    let mut request = self.placement_request(&other_releases, tried);
                     request.demand_recorded = true;
-                    self.place_among(request, tried).await
+                    self.choose_among(request, tried).await
                 }
-                None => Place::Nowhere,
+                None => Destination::NoEndpoint,
             },
         }
     }
 
-    /// Engines are chosen by the placer, all else by what this router has seen.
-    async fn place_among(&self, mut request: PlacementRequest, tried: &[String]) -> Place {
-        let times = if self.is_engine { PLACEMENTS } else { 0 };
-        for _ in 0..times {
+    /// Engines are chosen by the placer, other endpoints from this router's observations.
+    async fn choose_among(&self, mut request: PlacementRequest, tried: &[String]) -> Destination {
+        let attempts = if self.is_engine { MAX_PLACEMENT_REQUESTS } else { 0 };
+        for _ in 0..attempts {
             match self.gateway.placements.place(request.clone()).await {
                 PlacementOutcome::Reserved(reservation) => {
                     let id = &reservation.endpoint;
                     let endpoint = self.gateway.registry.read(|r| r.get_ready(id).cloned());
-                    // The placer may know an older registration or routing than this
-                    // router, and while it was asked a roll-out may have changed.
+                    // The placer may have an older registration or routing than this router,
+                    // and the rollout may have changed during the call.
                     if let Some(endpoint) = endpoint.filter(|e| self.may_be_sent_to(e)) {
-                        return Place::At(Box::new(endpoint), Some(reservation));
+                        return Destination::Endpoint(Box::new(endpoint), Some(reservation));
                     }
                     request.avoid.push(reservation.endpoint.clone());
                     request.demand_recorded = true;
                 }
-                PlacementOutcome::Refused(refusal) => return Place::TooLate(refusal),
+                PlacementOutcome::Refused(refusal) => return Destination::TooLate(refusal),
                 PlacementOutcome::Undecided => break,
             }
         }
-        match self.choose(tried) {
-            Some(endpoint) => Place::At(Box::new(endpoint), None),
-            None => Place::Nowhere,
+        match self.choose_locally(tried) {
+            Some(endpoint) => Destination::Endpoint(Box::new(endpoint), None),
+            None => Destination::NoEndpoint,
         }
     }
 
-    /// Chooses an endpoint that was not tried before.
-    fn choose(&self, tried: &[String]) -> Option<Registration> {
+    /// Chooses an endpoint that was not tried before from this router's observations.
+    fn choose_locally(&self, tried: &[String]) -> Option<Registration> {
         let eligibility = self.eligibility()?;
         let now = self.gateway.now();
         let cold = self.gateway.cold_limit(self.cold_per_second, self.is_engine);
@@ -105,10 +107,10 @@
         })
     }
 
-    /// Which endpoints may run it now; none where none may.
+    /// Which endpoints may run it now; `None` when no endpoint may.
     pub(super) fn eligibility(&self) -> Option<Eligibility> {
         let version = self.version_rule()?;
-        Some(Eligibility { regions: self.regions_by_now(), version })
+        Some(Eligibility { regions: self.current_regions(), version })
     }
 
     /// Whether an endpoint may run it.
@@ -121,7 +123,7 @@
 
     fn placement_request(&self, eligibility: &Eligibility, tried: &[String]) -> PlacementRequest {
         let objective = Duration::from_millis(self.route.objective_ms);
-        let left = objective.saturating_sub(self.arrived.elapsed());
+        let remaining = objective.saturating_sub(self.arrived.elapsed());
         PlacementRequest {
             seq: 0,
             service: self.service.clone(),
@@ -129,7 +131,7 @@
             parts: self.head.parts.iter().map(|part| (part.id, part.tokens)).collect(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: self.head.output_tokens,
-            objective_ms: left.as_millis() as u32,
+            objective_ms: remaining.as_millis() as u32,
             pause_objective_ms: self.route.pause_objective_ms as u32,
             hall: self.gateway.settings.host.hall.clone(),
             eligibility: eligibility.clone(),
--- a/src/gateway/start_checks.rs
+++ b/src/gateway/start_checks.rs
@@ -1,9 +1,9 @@
-//! Health checks of endpoints that started again, where an earlier answer or end may have been
-//! the new start's own.
+//! Health checks of restarted endpoints, where an earlier notice or lost answer may have come
+//! from the new start.
 //!
-//! A check has a connection of its own and names the endpoint. Only the head of its answer
-//! counts: whether the endpoint leaves or rests. The status does not, since answers to health
-//! checks may be false.
+//! A check uses its own connection and names the endpoint. Only the head of its answer counts:
+//! whether the endpoint is leaving or resting. The status is ignored, since the status of a
+//! health check may be wrong.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 use crate::notice::Notice;
 use crate::registry::Registration;
 
-/// How long an answer is waited for: a health check may wait for a free slot.
+/// How long to wait for an answer: a health check may queue for a free slot.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before a check that failed is repeated, doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before a failed check is repeated, doubled each time.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause between two checks.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(2);
 /// How long a request waits for checks when no other endpoint may run it.
-const CALL_WAIT: Duration = Duration::from_millis(300);
+const MAX_REQUEST_WAIT: Duration = Duration::from_millis(300);
 
-/// Why a check says nothing of the endpoint.
+/// Why a check gave no result.
 #[derive(Debug, Snafu)]
 enum CheckError {
-    #[snafu(display("no configuration in force names its service"))]
+    #[snafu(display("its service is not in the routing in force"))]
     NoService,
-    #[snafu(display("its address is not known"))]
+    #[snafu(display("its address is unknown"))]
     NoAddress,
-    #[snafu(display("{path:?} is no health path: {source}"))]
+    #[snafu(display("invalid health path {path:?}: {source}"))]
     Path { path: String, source: axum::http::Error },
     #[snafu(display("no answer: {error:?}"))]
     NoAnswer { error: SendError },
@@ -46,41 +46,43 @@
 }
 
 impl Gateway {
-    /// Begins to check an endpoint that takes work by its registration and of which it is not
-    /// certain, unless that is under way.
+    /// Starts a check of an endpoint that is registered as taking work and whose state is
+    /// uncertain, unless one is in progress.
     pub(super) fn check_if_uncertain(self: &Arc<Self>, id: &str) {
-        if self.uncertain(id).is_some() && self.with_start_checks(|ids| ids.insert(id.to_string()))
+        if self.uncertain_endpoint(id).is_some()
+            && self.with_start_checks(|ids| ids.insert(id.to_string()))
         {
             tokio::spawn(check_until_certain(self.clone(), id.to_string()));
         }
     }
 
-    fn uncertain(&self, id: &str) -> Option<Registration> {
+    fn uncertain_endpoint(&self, id: &str) -> Option<Registration> {
         let now = self.now();
         self.registry.read(|registry| {
             let endpoint = registry.get_ready(id)?;
-            let is_uncertain = self.with_endpoints(|seen| seen.is_uncertain(now, endpoint));
+            let is_uncertain =
+                self.with_endpoints(|endpoints| endpoints.is_uncertain(now, endpoint));
             is_uncertain.then(|| endpoint.clone())
         })
     }
 
-    /// Ends the check of an endpoint, if it is certain by now.
-    fn end_check(&self, id: &str) -> bool {
-        // Under the lock: whoever finds it uncertain later begins another check.
+    /// Ends the check of an endpoint if its state is certain; returns whether it is.
+    fn end_check_if_certain(&self, id: &str) -> bool {
+        // Under the lock, so that an endpoint found uncertain later gets a new check.
         self.with_start_checks(|ids| {
-            let ends = self.uncertain(id).is_none();
-            if ends {
+            let is_certain = self.uncertain_endpoint(id).is_none();
+            if is_certain {
                 ids.remove(id);
             }
-            ends
+            is_certain
         })
     }
 }
 
 async fn check_until_certain(gateway: Arc<Gateway>, id: String) {
-    let mut pause = FIRST_PAUSE;
-    while !gateway.end_check(&id) {
-        let Some(endpoint) = gateway.uncertain(&id) else { continue };
+    let mut pause = FIRST_RETRY_PAUSE;
+    while !gateway.end_check_if_certain(&id) {
+        let Some(endpoint) = gateway.uncertain_endpoint(&id) else { continue };
         match check(&gateway, &endpoint).await {
             Ok(notice) => {
                 log::info!(
@@ -88,17 +90,17 @@
                     endpoint.started_at_ms
                 );
                 gateway.count_start_check(&endpoint, "answered");
-                gateway.take_notice(&endpoint, &notice);
+                gateway.apply_notice(&endpoint, &notice);
             }
             Err(error) => {
                 log::info!(
-                    "gateway: endpoint {id}, started at {}, gets no work until it answers a \
-                     check: {error}",
+                    "gateway: endpoint {id}, started at {}, gets no requests until it \
+                     answers a check: {error}",
                     endpoint.started_at_ms
                 );
                 gateway.count_start_check(&endpoint, "failed");
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(MAX_PAUSE);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
     }
@@ -109,8 +111,8 @@
     let Some(address) = endpoint.address else { return NoAddressSnafu.fail() };
     let target = Target { address, started_at_ms: endpoint.started_at_ms };
     let request = health_check(gateway, endpoint, target)?;
-    let asking = gateway.connections.ask(target, request);
-    let response = match tokio::time::timeout(ANSWER_TIMEOUT, asking).await {
+    let exchange = gateway.connections.send_on_new(target, request);
+    let response = match tokio::time::timeout(ANSWER_TIMEOUT, exchange).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return NoAnswerSnafu { error }.fail(),
         Err(_) => return TooSlowSnafu.fail(),
@@ -139,32 +141,32 @@
 }
 
 impl Call {
-    /// Waits a moment for checks of endpoints that could run it; whether any was waited for.
+    /// Waits a moment for checks of endpoints that could run it; returns whether it waited.
     pub(super) async fn wait_for_start_checks(&self, tried: &[String]) -> bool {
-        let limit = tokio::time::Instant::now() + CALL_WAIT.min(self.remaining());
+        let deadline = tokio::time::Instant::now() + MAX_REQUEST_WAIT.min(self.remaining());
         let mut waited = false;
         loop {
             let ended = self.gateway.start_checks_ended.notified();
             tokio::pin!(ended);
-            // From here on it is told, also of what ends before it is awaited.
+            // Registers for notifications, including those sent before it is awaited.
             ended.as_mut().enable();
-            if !self.meets_uncertain(tried) {
+            if !self.has_uncertain_candidate(tried) {
                 return waited;
             }
             waited = true;
-            if tokio::time::timeout_at(limit, ended).await.is_err() {
+            if tokio::time::timeout_at(deadline, ended).await.is_err() {
                 return waited;
             }
         }
     }
 
-    fn meets_uncertain(&self, tried: &[String]) -> bool {
+    fn has_uncertain_candidate(&self, tried: &[String]) -> bool {
         let Some(eligibility) = self.eligibility() else { return false };
         let now = self.gateway.now();
         self.gateway.registry.read(|registry| {
             let mut ready = registry.ready(&self.service).filter(|e| !tried.contains(&e.id));
-            self.gateway.with_endpoints(|seen| {
-                ready.any(|e| self.is_eligible(&eligibility, e) && seen.is_uncertain(now, e))
+            self.gateway.with_endpoints(|endpoints| {
+                ready.any(|e| self.is_eligible(&eligibility, e) && endpoints.is_uncertain(now, e))
             })
         })
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! State shared by the parts of a gateway.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -12,11 +12,11 @@
 use super::endpoints::{ColdLimit, EndpointTracker, Failure};
 use super::header_names::HeaderNames;
 use super::neighbours::Neighbours;
-use super::observed::Observed;
+use super::observation::ReleaseObservation;
 use super::overload::Overload;
 use super::rollouts::Releases;
 use crate::dispatch::Millis;
-use crate::feed::{Followed, Subscriptions};
+use crate::feed::{FleetState, Subscriptions};
 use crate::loop_lag::LoopLag;
 use crate::peer::Peers;
 use crate::placement::{Completion, LocalPlacer, PlacementClient, Reservation};
@@ -28,38 +28,38 @@
 use crate::telemetry::GatewayMetrics;
 use crate::wire::Role;
 
-/// A gateway and all that its parts share.
+/// A gateway and the state that its parts share.
 pub struct Gateway {
-    /// Its settings.
+    /// Settings of the router.
     pub settings: RouterSettings,
-    /// The part of its settings for requests by routes.
+    /// Settings of the gateway.
     pub rules: GatewaySettings,
-    /// The other hosts.
+    /// Connections to the other hosts.
     pub peers: Arc<Peers>,
     /// The routing in force.
     pub documents: Arc<CurrentRouting>,
-    /// The endpoints.
+    /// Registrations of endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
     pub rollouts: Arc<SharedRollouts>,
-    /// Which requests crash endpoints.
+    /// Refuses requests that crash endpoints.
     pub guard: Arc<CrashGuard>,
-    /// What control hosts tell.
+    /// Subscriptions to the control hosts.
     pub feeds: Arc<Subscriptions>,
-    /// Where requests for engines go.
+    /// Client of the placer, which chooses engines.
     pub placements: Arc<PlacementClient>,
-    /// Names and formats of heads.
+    /// Header names of requests and answers.
     pub header_names: Arc<HeaderNames>,
     /// Connections to endpoints.
     pub connections: Connections,
-    /// Counters.
+    /// Metrics of the gateway.
     pub metrics: GatewayMetrics,
-    /// Begins a planned stop.
+    /// Cancelled when a planned stop begins.
     pub stop: CancellationToken,
     pub(super) endpoints: Mutex<EndpointTracker>,
-    /// Endpoints that are being asked whether they take work.
+    /// Ids of endpoints with a start check in progress.
     start_checks: Mutex<BTreeSet<String>>,
-    /// Notified when such an endpoint has answered.
+    /// Notified when a start check has ended.
     pub(super) start_checks_ended: Notify,
     pub(super) budgets: Mutex<RetryBudgets>,
     releases: Mutex<Releases>,
@@ -85,19 +85,19 @@
         let hall = settings.host.hall.clone();
         let quarantine = Arc::new(SharedQuarantine::default());
         let guard = Arc::new(CrashGuard::new(quarantine.clone(), peers.me, peers.clock));
-        let followed = Followed {
+        let fleet_state = FleetState {
             documents: documents.clone(),
             registry: registry.clone(),
             rollouts: rollouts.clone(),
             quarantine,
         };
-        let feeds = Subscriptions::start(peers.clone(), followed, &hall, Role::Router);
+        let feeds = Subscriptions::start(peers.clone(), fleet_state, &hall, Role::Router);
         let regions = settings.host.regions.clone();
         let local =
             LocalPlacer::new(peers.me, peers.clock, documents.clone(), registry.clone(), regions);
         let overload = Arc::new(Mutex::new(Overload::new(rules.overload)));
         let lag = watch_lag(overload.clone());
-        let most_connections = rules.overload.caller_connections();
+        let max_connections = rules.overload.max_caller_connections();
         let placements = PlacementClient::start(peers.clone(), feeds.clone(), local, hall, lag);
         let budgets = RetryBudgets::new(rules.retry_budget, 1);
         Arc::new(Gateway {
@@ -111,7 +111,7 @@
             feeds,
             placements,
             header_names,
-            connections: Connections::new(most_connections),
+            connections: Connections::new(max_connections),
             metrics: GatewayMetrics::default(),
             stop,
             endpoints: Mutex::default(),
@@ -133,38 +133,38 @@
         self.peers.clock.now()
     }
 
-    /// Works on what was seen of endpoints.
+    /// Runs `f` on what was observed of endpoints, under its lock.
     pub(super) fn with_endpoints<T>(&self, f: impl FnOnce(&mut EndpointTracker) -> T) -> T {
         f(&mut self.endpoints.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on the ids of endpoints that are being asked whether they take work.
+    /// Runs `f` on the ids of endpoints with a start check in progress, under their lock.
     pub(super) fn with_start_checks<T>(&self, f: impl FnOnce(&mut BTreeSet<String>) -> T) -> T {
         f(&mut self.start_checks.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// This router's part of what cold endpoints of a service bear.
+    /// This router's limit for requests to a cold endpoint of a service.
     pub(super) fn cold_limit(&self, per_second: Option<f64>, is_engine: bool) -> ColdLimit {
-        let routers = self.feeds.routers();
+        let routers = self.feeds.router_count();
         ColdLimit { per_second, routers, router: self.peers.me }.reserved_for_placer(is_engine)
     }
 
-    /// Works on the retry budgets.
+    /// Runs `f` on the retry budgets, under their lock.
     pub(super) fn with_budgets<T>(&self, f: impl FnOnce(&mut RetryBudgets) -> T) -> T {
         f(&mut self.budgets.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on what is known of releases.
+    /// Runs `f` on this router's state of the releases, under its lock.
     pub(super) fn with_releases<T>(&self, f: impl FnOnce(&mut Releases) -> T) -> T {
         f(&mut self.releases.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on what this router takes on.
+    /// Runs `f` on this router's load, under its lock.
     pub(super) fn with_overload<T>(&self, f: impl FnOnce(&mut Overload) -> T) -> T {
         f(&mut self.overload.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Works on what is known of the other routers of the data hall.
+    /// Runs `f` on what is known of the other routers of the data hall, under its lock.
     pub(super) fn with_neighbours<T>(&self, f: impl FnOnce(&mut Neighbours) -> T) -> T {
         f(&mut self.neighbours.lock().unwrap_or_else(PoisonError::into_inner))
     }
@@ -184,19 +184,19 @@
         self.metrics.render()
     }
 
-    /// A number for a request, for the log.
+    /// A number that identifies a request in the log.
     pub(super) fn next_number(&self) -> u64 {
         self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// An endpoint answered a request.
-    pub(super) fn note_success(&self, endpoint: &Registration) {
+    /// Records that an endpoint answered a request.
+    pub(super) fn record_success(&self, endpoint: &Registration) {
         let now = self.now();
         self.with_endpoints(|e| e.record_success(now, &endpoint.id, endpoint.started_at_ms));
     }
 
-    /// A request failed at an endpoint.
-    pub(super) fn note_failure(&self, id: &str, started_at_ms: u64, failure: Failure) {
+    /// Records that a request failed at an endpoint.
+    pub(super) fn record_failure(&self, id: &str, started_at_ms: u64, failure: Failure) {
         let now = self.now();
         let avoided = self.with_endpoints(|e| e.record_failure(now, id, started_at_ms, failure));
         if avoided > 0 {
@@ -204,17 +204,17 @@
         }
     }
 
-    /// Whether a planned stop takes no more requests.
+    /// Whether a planned stop has begun to refuse new requests.
     pub(super) fn is_refusing(&self) -> bool {
         self.refusing.load(Ordering::Relaxed)
     }
 
-    /// From here on a planned stop takes no more requests.
-    pub(super) fn refuse_new(&self) {
+    /// Makes a planned stop refuse new requests from now on.
+    pub(super) fn stop_accepting(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Requests that are being served, here or by a router that took them over.
+    /// Requests in flight, served here or by a router that they were handed over to.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
@@ -224,35 +224,35 @@
         self.in_flight().saturating_sub(self.handing_over.load(Ordering::Relaxed))
     }
 
-    /// Whether callers' new connections should be handed over to other routers.
-    pub(super) fn hands_over(&self) -> bool {
+    /// Whether new connections of callers should be handed over to other routers.
+    pub(super) fn should_hand_over(&self) -> bool {
         let serving = self.serving();
-        self.with_overload(|overload| overload.hands_over(serving))
+        self.with_overload(|overload| overload.should_hand_over(serving))
     }
 
-    /// A request is served here.
-    pub(super) fn enter(self: &Arc<Self>) -> Presence {
+    /// Counts a request that is served here, until the guard is dropped.
+    pub(super) fn track_request(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        Presence { gateway: self.clone(), hands_over: false }
+        InFlightGuard { gateway: self.clone(), is_handover: false }
     }
 
-    /// A request is handed over to another router.
-    pub(super) fn enter_handing_over(self: &Arc<Self>) -> Presence {
+    /// Counts a request that is handed over to another router, until the guard is dropped.
+    pub(super) fn track_handover(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.handing_over.fetch_add(1, Ordering::Relaxed);
-        Presence { gateway: self.clone(), hands_over: true }
+        InFlightGuard { gateway: self.clone(), is_handover: true }
     }
 }
 
 fn watch_lag(overload: Arc<Mutex<Overload>>) -> LoopLag {
     LoopLag::start(move |lag| {
         let mut overload = overload.lock().unwrap_or_else(PoisonError::into_inner);
-        let handed_over = overload.hands_over(0);
+        let was_handing_over = overload.should_hand_over(0);
         let readiness_changed = overload.set_lag(lag);
-        if overload.hands_over(0) != handed_over {
+        if overload.should_hand_over(0) != was_handing_over {
             log::info!(
                 "gateway: new connections are {}: event loop {} ms late",
-                if handed_over { "served here" } else { "handed over" },
+                if was_handing_over { "served here" } else { "handed over" },
                 lag.as_millis(),
             );
         }
@@ -267,112 +267,113 @@
     })
 }
 
-/// A request under way; a planned stop waits until it is dropped.
-pub(super) struct Presence {
+/// A request in flight; a planned stop waits until it is dropped.
+pub(super) struct InFlightGuard {
     gateway: Arc<Gateway>,
-    hands_over: bool,
+    is_handover: bool,
 }
 
-impl Drop for Presence {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.gateway.in_flight.fetch_sub(1, Ordering::Relaxed);
-        if self.hands_over {
+        if self.is_handover {
             self.gateway.handing_over.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-/// A request at an endpoint, counted there until dropped.
-pub(super) struct Ticket {
+/// A request assigned to an endpoint, counted there until dropped.
+pub(super) struct Assignment {
     gateway: Arc<Gateway>,
     /// The endpoint's id.
     pub endpoint: String,
-    /// The start of the endpoint that it was sent to.
+    /// The start of the endpoint that it was sent to, in milliseconds since the epoch.
     pub started_at_ms: u64,
     prompt_tokens: u32,
-    begun: bool,
+    has_begun: bool,
     reservation: Option<Reservation>,
-    /// What it says of the endpoint's release.
-    pub observed: Observed,
+    /// What it shows about the endpoint's release.
+    pub observation: ReleaseObservation,
 }
 
-impl Ticket {
+impl Assignment {
     pub fn new(
         gateway: &Arc<Gateway>,
         endpoint: &Registration,
         prompt_tokens: u32,
         reservation: Option<Reservation>,
-        observed: Observed,
-    ) -> Ticket {
+        observation: ReleaseObservation,
+    ) -> Assignment {
         let now = gateway.now();
         let (endpoint, started_at_ms) = (endpoint.id.clone(), endpoint.started_at_ms);
         gateway.with_endpoints(|e| e.record_sent(now, &endpoint, started_at_ms, prompt_tokens));
         let gateway = gateway.clone();
-        Ticket {
+        Assignment {
             gateway,
             endpoint,
             started_at_ms,
             prompt_tokens,
-            begun: false,
+            has_begun: false,
             reservation,
-            observed,
+            observation,
         }
     }
 
-    /// The first part of the answer came.
-    pub fn begun(&mut self) {
-        if !std::mem::replace(&mut self.begun, true) {
+    /// Records the first part of the answer.
+    pub fn record_first_event(&mut self) {
+        if !std::mem::replace(&mut self.has_begun, true) {
             let tokens = self.prompt_tokens;
             self.gateway.with_endpoints(|e| {
                 e.record_first_event(&self.endpoint, self.started_at_ms, tokens)
             });
-            self.observed.answered();
+            self.observation.record_answered();
             if let Some(reservation) = &mut self.reservation {
                 reservation.record_first_event();
             }
         }
     }
 
-    /// The address of the engine from which kept parts can be copied.
+    /// The address of the engine from which cached prompt parts can be copied.
     pub fn copy_from(&self) -> Option<std::net::SocketAddr> {
         let source = self.reservation.as_ref()?.copy_from.as_deref()?;
         self.gateway.registry.read(|registry| registry.get(source)?.address)
     }
 
-    /// Says how the request ended.
-    pub fn set_ending(&mut self, ending: Completion) {
+    /// Records how the request ended.
+    pub fn set_completion(&mut self, completion: Completion) {
         if let Some(reservation) = &mut self.reservation {
-            reservation.set_completion(ending);
+            reservation.set_completion(completion);
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Assignment {
     fn drop(&mut self) {
-        let tokens = if self.begun { 0 } else { self.prompt_tokens };
+        let tokens = if self.has_begun { 0 } else { self.prompt_tokens };
         self.gateway
             .with_endpoints(|e| e.record_first_event(&self.endpoint, self.started_at_ms, tokens));
         self.gateway.with_endpoints(|e| e.record_end(&self.endpoint, self.started_at_ms));
     }
 }
 
-/// Takes in what the registry learns of endpoints: closes kept connections to those that take
-/// no more work or have started again, and checks those of which it is not certain.
+/// Applies changes of the registry: closes idle connections to endpoints that take no work any
+/// more or have restarted, and checks endpoints whose state is uncertain.
 pub(super) async fn follow_registry(gateway: Arc<Gateway>) {
     let mut watch = gateway.registry.watch();
-    let mut seen = 0;
+    let mut last_change = 0;
     let mut known_starts = KnownStarts::default();
     while watch.changed().await.is_ok() {
-        let changes = gateway.registry.read(|r| r.changes_after(seen, usize::MAX, Scope::All));
-        seen = changes.upto;
-        let news = known_starts.apply_changes(&changes.endpoints);
-        for start in &news {
-            gateway.connections.forget(start.id());
+        let changes =
+            gateway.registry.read(|r| r.changes_after(last_change, usize::MAX, Scope::All));
+        last_change = changes.upto;
+        let start_events = known_starts.apply_changes(&changes.endpoints);
+        for start in &start_events {
+            gateway.connections.close_idle(start.id());
         }
-        gateway.guard.record_starts(news);
+        gateway.guard.record_starts(start_events);
         for endpoint in &changes.endpoints {
             if endpoint.state != EndpointState::Ready {
-                gateway.connections.forget(&endpoint.id);
+                gateway.connections.close_idle(&endpoint.id);
                 gateway.with_endpoints(|e| e.forget(&endpoint.id));
             }
             gateway.check_if_uncertain(&endpoint.id);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::{Clock, epoch_ms};
 use crate::error::{Error, NetSnafu, Result};
-use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Table, View};
+use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, MemberTable, View};
 use crate::settings::HostSettings;
 use crate::wire::{
     Beat, FrameReader, Heartbeat, HostId, Open, Role, SentBytes, Traffic, UDP_HEADER,
@@ -68,7 +68,7 @@
     pub links: Links,
     /// Control bytes sent to other hosts.
     pub sent: SentBytes,
-    table: Mutex<Table>,
+    table: Mutex<MemberTable>,
     view: watch::Sender<Arc<View>>,
     other_protocols: AtomicU64,
     unreadable: AtomicU64,
@@ -98,7 +98,7 @@
             draining: false,
             also: None,
         };
-        let table = Table::new(beat, settings.seed_peers(), settings.heartbeats);
+        let table = MemberTable::new(beat, settings.seed_peers(), settings.heartbeats);
         let first = Arc::new(table.view(0));
         let peers = Arc::new(Peers {
             me: settings.number(),
@@ -138,7 +138,7 @@
 
     /// This host is in a planned stop.
     pub fn set_draining(&self) {
-        self.with_table(Table::set_draining);
+        self.with_table(MemberTable::set_draining);
     }
 
     /// Brief heartbeats of hosts that have not said the whole, since the start.
@@ -170,7 +170,7 @@
     }
 
     /// A connection to a host failed.
-    pub fn avoid(&self, host: HostId) {
+    pub fn record_connect_failure(&self, host: HostId) {
         let now = self.clock.now();
         self.with_table(|t| t.avoid(now, host));
     }
@@ -192,7 +192,7 @@
         Ok((FrameReader::new(BufReader::new(read)), write))
     }
 
-    fn with_table<T>(&self, f: impl FnOnce(&mut Table) -> T) -> T {
+    fn with_table<T>(&self, f: impl FnOnce(&mut MemberTable) -> T) -> T {
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let result = f(&mut table);
         drop(table);
@@ -237,7 +237,7 @@
         let now = peers.clock.now();
         let (beat, targets, alone) = peers.with_table(|t| {
             t.tick(now);
-            let (beat, targets) = t.beat();
+            let (beat, targets) = t.next_heartbeat();
             (beat, targets, t.is_alone())
         });
         let next = tokio::time::Instant::now() + Duration::from_millis(pause_ms);
@@ -254,7 +254,7 @@
     };
     let view = peers.view();
     let known = view.live.iter().chain(&view.suspected);
-    let cut = known.filter(|m| peers.links.is_cut(m.host)).map(|m| m.peer);
+    let cut = known.filter(|m| peers.links.is_cut_to(m.host)).map(|m| m.peer);
     let cut: HashSet<SocketAddr> = cut.collect();
     let heartbeats = peers.sent.of(Traffic::Heartbeats);
     for target in targets.into_iter().filter(|target| !cut.contains(target)) {
@@ -283,8 +283,8 @@
             continue;
         }
         let now = peers.clock.now();
-        let answer = peers.with_table(|t| t.heard(now, from, beat));
-        if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut(sender)) {
+        let answer = peers.with_table(|t| t.on_heartbeat(now, from, beat));
+        if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut_to(sender)) {
             log_answer(sender, &answer);
             send_beat(&peers, &udp, &answer, vec![to]).await;
         }
@@ -293,8 +293,8 @@
 
 fn log_answer(to: HostId, answer: &Beat) {
     match answer {
-        Beat::Ask(_) => log::info!("member: host {to} is not known, asked for the whole"),
-        Beat::Whole(_) => log::info!("member: introduced to host {to}"),
+        Beat::RequestFull(_) => log::info!("member: host {to} is not known, asked for the whole"),
+        Beat::Full(_) => log::info!("member: introduced to host {to}"),
         Beat::Brief { .. } => {}
     }
 }
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Beat {
     /// All that a host says of itself.
-    Whole(Heartbeat),
+    Full(Heartbeat),
     /// What changes.
     Brief {
         /// The host.
@@ -83,14 +83,14 @@
     },
     /// The answer to a brief heartbeat that says nothing to its receiver, which has
     /// not heard the whole from that start of the sender: who asks for it.
-    Ask(Heartbeat),
+    RequestFull(Heartbeat),
 }
 
 impl Beat {
     /// Who sent it.
     pub fn host(&self) -> HostId {
         match self {
-            Beat::Whole(beat) | Beat::Ask(beat) => beat.host,
+            Beat::Full(beat) | Beat::RequestFull(beat) => beat.host,
             Beat::Brief { host, .. } => *host,
         }
     }
@@ -108,12 +108,12 @@
         /// Grows with every connection of this router.
         session: u64,
     },
-    /// Asks once for the configuration after version `have`.
+    /// Asks once for the configuration after `held_version`.
     Pull {
         /// Who asks.
         host: HostId,
         /// What it has; 0 for nothing.
-        have: u64,
+        held_version: u64,
     },
     /// A control host sends agreement messages.
     Agree {
@@ -175,13 +175,13 @@
 
 /// The answer to [`Open::Pull`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Pulled {
+pub enum PullResponse {
     /// The asker has the newest version known here.
     Current,
     /// The steps from the asker's version on.
     Deltas(Vec<Delta>),
     /// The whole, when the asker is too far behind for deltas.
-    Whole(Box<Config>),
+    Snapshot(Box<Config>),
 }
 
 /// A request waiting at a router, as its dispatcher sees it.
@@ -265,7 +265,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// Whether it leaves.
-        leaves: bool,
+        is_leaving: bool,
     },
     /// A waiting request was given up.
     Cancel {
