--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::table::{Claim, ClaimOutcome, Settlement};
-use crate::control::{ClaimAction, ClaimAnswer, ClaimOutcome, ClaimRequest};
+use crate::control::{ClaimAction, ClaimAnswer, ClaimReply, ClaimRequest};
 use crate::peer::Peers;
 use crate::wire::{BatchWriter, Heartbeat, HostId, Open, Role};
 
@@ -22,7 +22,7 @@
     claim: Claim,
     ask: ClaimAction,
     expires_at: tokio::time::Instant,
-    reply: oneshot::Sender<ClaimOutcome>,
+    reply: oneshot::Sender<ClaimReply>,
 }
 
 /// Sends claim requests to the leader, and repeats those whose answer was lost.
@@ -49,7 +49,7 @@
     /// answers within `limit`.
     pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
         match self.send_request(claim, ClaimAction::Lookup, limit).await? {
-            ClaimOutcome::Claimed(claimed) => Some(claimed),
+            ClaimReply::Claimed(claimed) => Some(claimed),
             _ => None,
         }
     }
@@ -58,7 +58,7 @@
     /// run then, and the claim is released in the background.
     pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
         match self.send_request(claim.clone(), ClaimAction::Claim, limit).await {
-            Some(ClaimOutcome::Claimed(claimed)) => Some(claimed),
+            Some(ClaimReply::Claimed(claimed)) => Some(claimed),
             _ => {
                 drop(self.settle(claim, Settlement::NotRun));
                 None
@@ -74,7 +74,7 @@
     }
 
     /// Settles a claim in the background.
-    fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<ClaimOutcome> {
+    fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<ClaimReply> {
         let (reply, settled) = oneshot::channel();
         let expires_at = tokio::time::Instant::now() + MAX_SETTLE_TIME;
         let ask = ClaimAction::Settle(settlement);
@@ -83,7 +83,12 @@
         settled
     }
 
-    async fn send_request(&self, claim: Claim, ask: ClaimAction, limit: Duration) -> Option<ClaimOutcome> {
+    async fn send_request(
+        &self,
+        claim: Claim,
+        ask: ClaimAction,
+        limit: Duration,
+    ) -> Option<ClaimReply> {
         let (reply, receiver) = oneshot::channel();
         let expires_at = tokio::time::Instant::now() + limit;
         self.0.send(PendingRequest { claim, ask, expires_at, reply }).ok()?;
@@ -221,21 +226,21 @@
     /// Passes answers on to the callers. Returns whether the host is still the leader.
     fn on_answers(&mut self, host: HostId, batch: Vec<ClaimAnswer>) -> bool {
         let mut still_leads = true;
-        for ClaimAnswer { number, outcome } in batch {
-            match outcome {
-                ClaimOutcome::Elsewhere(leader) => {
+        for ClaimAnswer { number, reply } in batch {
+            match reply {
+                ClaimReply::Elsewhere(leader) => {
                     self.leader = leader;
                     still_leads = false;
                 }
-                ClaimOutcome::Uncertain => {
+                ClaimReply::Uncertain => {
                     self.leader = None;
                     still_leads = false;
                 }
-                outcome => {
+                reply => {
                     self.leader = Some(host);
                     if let Some(request) = self.pending.remove(&number) {
                         // The caller may have timed out.
-                        let _ = request.reply.send(outcome);
+                        let _ = request.reply.send(reply);
                     }
                 }
             }
--- a/src/claim/tests/client.rs
+++ b/src/claim/tests/client.rs
@@ -8,7 +8,7 @@
 
 use super::super::{ClaimClient, ClaimOutcome};
 use super::claim;
-use crate::control::{ClaimAnswer, ClaimOutcome, ClaimRequest};
+use crate::control::{ClaimAnswer, ClaimReply, ClaimRequest};
 use crate::peer::Incoming;
 use crate::testing::{peer_address, start_peers, wait_until};
 use crate::wire::{Role, write_frame};
@@ -32,9 +32,9 @@
     while let Some(Incoming { mut reader, mut writer, .. }) = incoming.recv().await {
         tokio::spawn(async move {
             while let Ok(requests) = reader.next::<Vec<ClaimRequest>>().await {
-                let outcome = ClaimOutcome::Claimed(ClaimOutcome::Granted);
+                let reply = ClaimReply::Claimed(ClaimOutcome::Granted);
                 let answer =
-                    |r: ClaimRequest| ClaimAnswer { number: r.number, outcome: outcome.clone() };
+                    |r: ClaimRequest| ClaimAnswer { number: r.number, reply: reply.clone() };
                 let answers: Vec<_> = requests.into_iter().map(answer).collect();
                 if write_frame(&mut writer, &answers).await.is_err() {
                     return;
--- a/src/control.rs
+++ b/src/control.rs
@@ -52,7 +52,7 @@
 pub use handle::{Handle, Leadership, NoLeader};
 pub use join::JoinReply;
 pub use registrations::{RegistrationOutcome, check_registration};
-pub use serve::{ClaimAction, ClaimAnswer, ClaimOutcome, ClaimRequest, Identity};
+pub use serve::{ClaimAction, ClaimAnswer, ClaimReply, ClaimRequest, Identity};
 pub use state::{ChangeOutcome, Command, Reply, State};
 
 /// What the tasks of a control host share.
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -53,9 +53,9 @@
     pub action: ClaimAction,
 }
 
-/// The outcome of a claim request.
+/// The reply to a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimOutcome {
+pub enum ClaimReply {
     /// The decision on the claim or, for a lookup, the state of the key.
     Claimed(ClaimOutcome),
     /// The key is not claimed.
@@ -68,13 +68,13 @@
     Uncertain,
 }
 
-/// The answer to a `ClaimRequest`.
+/// The reply to a `ClaimRequest`, with its number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimAnswer {
     /// Number of the request.
     pub number: u64,
-    /// Its outcome.
-    pub outcome: ClaimOutcome,
+    /// The reply.
+    pub reply: ClaimReply,
 }
 
 pub(super) async fn receive_envelopes(
@@ -133,44 +133,44 @@
             let answers = answers.clone();
             tokio::spawn(async move {
                 let number = request.number;
-                let outcome = handle_claim(&control, request).await;
+                let reply = handle_claim(&control, request).await;
                 // The router may have left.
-                let _ = answers.send(ClaimAnswer { number, outcome }.into());
+                let _ = answers.send(ClaimAnswer { number, reply }.into());
             });
         }
     }
 }
 
-async fn handle_claim(control: &Control, request: ClaimRequest) -> ClaimOutcome {
+async fn handle_claim(control: &Control, request: ClaimRequest) -> ClaimReply {
     let at_ms = epoch_ms();
     let ClaimRequest { claim, action, .. } = request;
     let command = match action {
         ClaimAction::Lookup => {
             let found = control.handle.inspect(move |state| state.claims().lookup(&claim)).await;
             return match found {
-                Ok(Some(claimed)) => ClaimOutcome::Claimed(claimed),
-                Ok(None) => ClaimOutcome::Free,
-                Err(no_leader) => no_leader_outcome(no_leader),
+                Ok(Some(claimed)) => ClaimReply::Claimed(claimed),
+                Ok(None) => ClaimReply::Free,
+                Err(no_leader) => no_leader_reply(no_leader),
             };
         }
         ClaimAction::Claim => Command::Claim { at_ms, claim },
         ClaimAction::Settle(settlement) => Command::Settle { at_ms, claim, settlement },
     };
     match control.handle.propose(command).await {
-        Ok(Reply::Claimed(claimed)) => ClaimOutcome::Claimed(claimed),
-        Ok(Reply::Settled) => ClaimOutcome::Settled,
+        Ok(Reply::Claimed(claimed)) => ClaimReply::Claimed(claimed),
+        Ok(Reply::Settled) => ClaimReply::Settled,
         Ok(other) => {
             unexpected_reply(&other);
-            ClaimOutcome::Uncertain
+            ClaimReply::Uncertain
         }
-        Err(no_leader) => no_leader_outcome(no_leader),
+        Err(no_leader) => no_leader_reply(no_leader),
     }
 }
 
-fn no_leader_outcome(no_leader: NoLeader) -> ClaimOutcome {
+fn no_leader_reply(no_leader: NoLeader) -> ClaimReply {
     match no_leader {
-        NoLeader::Elsewhere(host) => ClaimOutcome::Elsewhere(Some(host)),
-        NoLeader::Unknown => ClaimOutcome::Elsewhere(None),
-        NoLeader::Uncertain => ClaimOutcome::Uncertain,
+        NoLeader::Elsewhere(host) => ClaimReply::Elsewhere(Some(host)),
+        NoLeader::Unknown => ClaimReply::Elsewhere(None),
+        NoLeader::Uncertain => ClaimReply::Uncertain,
     }
 }
