--- a/src/control.rs
+++ b/src/control.rs
@@ -76,7 +76,7 @@
     pub rollout_progress: Mutex<BTreeMap<String, Progress>>,
     /// The placer that runs here.
     pub placement: PlacerHandle,
-    /// The hosts that follow a feed of this host.
+    /// The subscribers to the feeds of this host.
     pub subscribers: Arc<Subscribers>,
     /// Handle to the agreement of the control group.
     pub handle: Handle,
@@ -252,6 +252,6 @@
     };
     let published = feed::publish(publication, control.peers.sent.clone(), reader, writer);
     if let Err(error) = published.await {
-        log::info!("feed: host {host} no longer follows: {error}");
+        log::info!("feed: subscription of host {host} ended: {error}");
     }
 }
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -9,7 +9,7 @@
 use crate::agree::{Envelope, GroupMember, Replica, Role, Status, StoreId};
 use crate::wire::HostId;
 
-/// Why the agreement on this host could not decide: it does not lead.
+/// Why this host could not decide a call: it does not lead, or lost its leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoLeader {
     /// Another host leads.
