--- a/src/router.rs
+++ b/src/router.rs
@@ -1,10 +1,11 @@
-//! The router process: callers' requests in, dispatch among peers, calls out.
+//! The router process: accepts requests of callers, gets grants from dispatchers and calls
+//! endpoints.
 
 mod dispatchers;
 mod link;
 mod notices;
-mod once;
 mod reach;
+mod run_once;
 mod serve;
 
 mod state;
@@ -30,35 +31,36 @@
 
 pub use state::Router;
 
-/// How long a starting router looks for the newest configuration in reach
-/// before it takes requests.
-const SETTLE: Duration = Duration::from_millis(1_200);
+/// Time for which a starting router collects configurations from reachable hosts before it accepts
+/// requests, so that it starts with the newest of them.
+const CONFIG_DISCOVERY_TIME: Duration = Duration::from_millis(1_200);
 
-/// How long it waits for a control host after that: an election takes a second or two, on a
-/// busy host some more.
-const HEARING: Duration = Duration::from_secs(6);
-/// How often it looks.
-const POLL: Duration = Duration::from_millis(50);
+/// Maximum time for which it then waits for a control host. An election takes one or two seconds,
+/// longer on a busy host.
+const CONTROL_WAIT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Interval at which it checks for a control host.
+const CONTROL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a router until `stop`, then lets every request in flight finish.
+/// Runs a router until `stop` is cancelled, then waits up to the drain limit for requests in flight
+/// to finish.
 pub async fn run(settings: RouterSettings, stop: CancellationToken) -> Result<()> {
     settings.check()?;
     let (peers, incoming) = Peers::start(&settings.host, Role::Router, settings.operator).await?;
     let router = Router::new(settings, peers, stop.clone());
     router.start_tasks();
-    tokio::spawn(take_connections(router.clone(), incoming));
+    tokio::spawn(accept_connections(router.clone(), incoming));
     let operator = router.settings.operator;
     tokio::spawn(crate::operator::serve_router(router.clone(), operator));
-    settle(&router, &stop).await;
-    hear_control_hosts(&router, &stop).await;
+    wait_for_config(&router, &stop).await;
+    wait_for_control_host(&router, &stop).await;
     serve_callers(router, stop).await
 }
 
-/// Waits until the configuration is as new as any in reach, so that a router
-/// back empty never serves an older one than it could have learned.
-async fn settle(router: &Router, stop: &CancellationToken) {
+/// Waits until the configuration is as new as any in reach, so that a router that restarts without
+/// stored state never serves an older configuration than one it could have received.
+async fn wait_for_config(router: &Router, stop: &CancellationToken) {
     let mut version = router.configs.watch();
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(CONFIG_DISCOVERY_TIME).await;
     while version.borrow_and_update().version == 0 {
         log::info!("router: waiting for a configuration");
         tokio::select! {
@@ -68,20 +70,20 @@
     }
 }
 
-/// Waits until a control host that has caught up with the leader is heard: before that a
-/// router does not know which requests crash endpoints. Out of reach of them it serves
-/// what it can.
-async fn hear_control_hosts(router: &Router, stop: &CancellationToken) {
-    let heard = async {
+/// Waits for a feed from a control host that has caught up with the leader: before that, a router
+/// does not know which requests crash endpoints. Out of reach of such a host it serves requests
+/// after [`CONTROL_WAIT_TIMEOUT`] without that knowledge.
+async fn wait_for_control_host(router: &Router, stop: &CancellationToken) {
+    let caught_up = async {
         while !router.feeds.is_current() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(CONTROL_POLL_INTERVAL).await;
         }
-        // What they agreed on comes right behind who leads.
-        tokio::time::sleep(POLL).await;
+        // The agreed state arrives right after the name of the leader.
+        tokio::time::sleep(CONTROL_POLL_INTERVAL).await;
     };
     tokio::select! {
-        heard = tokio::time::timeout(HEARING, heard) => if heard.is_err() {
-            log::warn!("router: no control host has caught up with a leader, serves without");
+        waited = tokio::time::timeout(CONTROL_WAIT_TIMEOUT, caught_up) => if waited.is_err() {
+            log::warn!("router: no control host has caught up with a leader; serving without one");
         },
         () = stop.cancelled() => {}
     }
@@ -92,14 +94,14 @@
     let what = format!("listen for callers on {listen}");
     let listener = TcpListener::bind(listen).await;
     let listener = listener.context(NetSnafu { what: what.clone() })?.tap_io(set_nodelay);
-    log::info!("router: host {} takes requests on {listen}", router.peers.me);
+    log::info!("router: host {} accepts requests on {listen}", router.peers.me);
     let drain = Duration::from_millis(router.settings.drain_ms);
     let app = caller::app(router.clone());
-    let stopping = stop.clone();
-    let leaving = router.clone();
+    let stop_signal = stop.clone();
+    let stopping_router = router.clone();
     let server = axum::serve(listener, app).with_graceful_shutdown(async move {
-        stopping.cancelled().await;
-        leaving.begin_stop();
+        stop_signal.cancelled().await;
+        stopping_router.begin_stop();
     });
     let expired = async {
         stop.cancelled().await;
@@ -107,22 +109,22 @@
     };
     tokio::select! {
         served = async { server.await } => served.context(NetSnafu { what })?,
-        () = expired => log::warn!("router: requests still in flight at the drain limit"),
+        () = expired => log::warn!("router: drain limit reached with requests in flight"),
     }
-    router.finish_runs().await;
+    router.finish_run_once_calls().await;
     log::info!("router: stopped");
     Ok(())
 }
 
-/// Without it the end of a stream waits for the caller's delayed
-/// acknowledgement of the event before.
+/// Sets `TCP_NODELAY`. Without it, the end of a stream waits until the caller has acknowledged the
+/// event before, which TCP delays.
 pub(crate) fn set_nodelay(stream: &mut TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("caller: a connection stays slow: {error}");
+        log::debug!("caller: cannot set TCP_NODELAY on a connection: {error}");
     }
 }
 
-async fn take_connections(router: Arc<Router>, mut incoming: mpsc::Receiver<Incoming>) {
+async fn accept_connections(router: Arc<Router>, mut incoming: mpsc::Receiver<Incoming>) {
     while let Some(Incoming { open, reader, writer }) = incoming.recv().await {
         match open {
             Open::Dispatch { router: from, service, session } => {
@@ -144,7 +146,7 @@
             | Open::Claims { .. }
             | Open::Leaving { .. }
             | Open::Caller { .. } => {
-                log::warn!("peer: a router takes no such connection");
+                log::warn!("peer: a router does not accept this kind of connection");
             }
         }
     }
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -1,4 +1,4 @@
-//! The dispatchers that run on this host: one task a service.
+//! Dispatchers that run on this host, one task per service.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use super::state::Leaving;
+use super::state::LeavingEndpoints;
 use crate::config::ServiceId;
 use crate::dispatch::{Decision, Dispatcher, Snapshot};
 use crate::peer::{PeerReader, Peers};
@@ -16,11 +16,12 @@
 use crate::telemetry::{RequestId, Trace};
 use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, Patient, ToDispatcher};
 
-/// How often a dispatcher looks at deadlines and orphans.
-const TICK: Duration = Duration::from_millis(50);
-/// Messages from routers that may wait for a dispatcher.
-const INBOX: usize = 4_096;
-/// Bits of a session number below the incarnation.
+/// Interval at which a dispatcher checks deadlines and orphaned grants.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of events that wait for a dispatcher; routers' sessions are not read while the
+/// queue is full.
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
+/// Number of low bits of a session number that count sessions; the incarnation is above them.
 pub(super) const SESSION_BITS: u32 = 20;
 
 enum Event {
@@ -30,7 +31,7 @@
     Snapshot(oneshot::Sender<Snapshot>),
 }
 
-/// A router's session; its connection closes when this is dropped.
+/// A router's session; its connection is closed on drop.
 struct Session {
     number: u64,
     out: BatchSender<FromDispatcher>,
@@ -42,18 +43,18 @@
 pub struct Dispatchers {
     peers: Arc<Peers>,
     configs: Arc<Configs>,
-    leaving: watch::Receiver<Leaving>,
+    leaving: watch::Receiver<LeavingEndpoints>,
     trace: Arc<Trace>,
     divisor: u32,
     running: Mutex<HashMap<ServiceId, mpsc::Sender<Event>>>,
 }
 
 impl Dispatchers {
-    /// None yet; each will use one part in `divisor` of the slots.
+    /// Creates an empty set of dispatchers, each of which uses 1/`divisor` of the slots.
     pub fn new(
         peers: Arc<Peers>,
         configs: Arc<Configs>,
-        leaving: watch::Receiver<Leaving>,
+        leaving: watch::Receiver<LeavingEndpoints>,
         trace: Arc<Trace>,
         divisor: u32,
     ) -> Dispatchers {
@@ -61,7 +62,8 @@
         Dispatchers { peers, configs, leaving, trace, divisor, running }
     }
 
-    /// A router attached to the dispatcher of `service` here.
+    /// Attaches a router's session to the dispatcher of `service`, starting the dispatcher if
+    /// necessary.
     pub fn attach(
         &self,
         router: HostId,
@@ -70,7 +72,7 @@
         reader: PeerReader,
         writer: OwnedWriteHalf,
     ) {
-        let events = self.task(service);
+        let events = self.events_of(service);
         let peers = self.peers.clone();
         let sent = (router != peers.me).then(|| peers.sent.clone());
         let (out, batch) = BatchWriter::new(sent);
@@ -86,7 +88,7 @@
         tokio::spawn(read_session(peers, router, session, reader, closed, events));
     }
 
-    /// What the dispatchers here hold, by service.
+    /// Returns snapshots of the dispatchers on this host with their services.
     pub async fn snapshots(&self) -> Vec<(ServiceId, Snapshot)> {
         let running: Vec<_> = {
             let running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
@@ -105,11 +107,11 @@
         snapshots
     }
 
-    fn task(&self, service: ServiceId) -> mpsc::Sender<Event> {
+    fn events_of(&self, service: ServiceId) -> mpsc::Sender<Event> {
         let mut running = self.running.lock().unwrap_or_else(PoisonError::into_inner);
         let start = || {
-            log::info!("dispatch: this host dispatches service {}", service.0);
-            let (sender, events) = mpsc::channel(INBOX);
+            log::info!("dispatch: starting the dispatcher of service {}", service.0);
+            let (sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
             let now = self.peers.clock.now();
             let task = Task {
                 service,
@@ -143,7 +145,7 @@
                 Ok(messages) => messages,
                 Err(_) => break,
             },
-            // The dispatcher has closed the session.
+            // The dispatcher closed the session.
             () = closed.cancelled() => break,
         };
         peers.links.clear_from(router).await;
@@ -152,7 +154,7 @@
             return;
         }
     }
-    // The dispatcher outlives its sessions; it is gone only when the process stops.
+    // The dispatcher outlives its sessions, so this fails only when the process stops.
     let _ = events.send(Event::Lost { router, session: number }).await;
 }
 
@@ -169,17 +171,17 @@
         mut self,
         mut events: mpsc::Receiver<Event>,
         configs: Arc<Configs>,
-        mut leaving: watch::Receiver<Leaving>,
+        mut leaving: watch::Receiver<LeavingEndpoints>,
     ) {
         let mut config = configs.watch();
         let mut view = self.peers.watch();
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         config.mark_changed();
         loop {
             let decisions = tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.event(event),
+                    Some(event) => self.on_event(event),
                     None => return,
                 },
                 _ = ticks.tick() => self.dispatcher.tick(self.peers.clock.now()),
@@ -187,16 +189,16 @@
                 Ok(()) = leaving.changed() => self.configure(&config, &leaving),
                 Ok(()) = view.changed() => self.drop_suspected(&view.borrow_and_update().clone()),
             };
-            self.carry_out(decisions);
+            self.execute(decisions);
         }
     }
 
-    fn event(&mut self, event: Event) -> Vec<Decision> {
+    fn on_event(&mut self, event: Event) -> Vec<Decision> {
         let now = self.peers.clock.now();
         match event {
             Event::Attached { router, session } => {
-                let known = self.sessions.get(&router);
-                if known.is_none_or(|s| s.number < session.number) {
+                let current = self.sessions.get(&router);
+                if current.is_none_or(|s| s.number < session.number) {
                     self.sessions.insert(router, session);
                 }
                 Vec::new()
@@ -215,7 +217,7 @@
                 self.dispatcher.on_session_lost(now, router, session)
             }
             Event::Snapshot(sender) => {
-                // The asker may have left.
+                // The requester may have been cancelled.
                 let _ = sender.send(self.dispatcher.snapshot());
                 Vec::new()
             }
@@ -225,7 +227,7 @@
     fn configure(
         &mut self,
         config: &watch::Receiver<Arc<crate::config::Config>>,
-        leaving: &watch::Receiver<Leaving>,
+        leaving: &watch::Receiver<LeavingEndpoints>,
     ) -> Vec<Decision> {
         let now = self.peers.clock.now();
         let config = config.borrow().clone();
@@ -249,7 +251,7 @@
         decisions
     }
 
-    fn carry_out(&mut self, decisions: Vec<Decision>) {
+    fn execute(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Grant {
@@ -269,8 +271,8 @@
                     );
                     self.decide(router, seq, text);
                     let grant = FromDispatcher::Grant { seq, endpoint, charged, lead };
-                    let patience = Duration::from_millis(max_delay_ms);
-                    self.send(router, grant, patience);
+                    let max_delay = Duration::from_millis(max_delay_ms);
+                    self.send(router, grant, max_delay);
                 }
                 Decision::Refuse { router, seq, customer, reason, retry_after_ms, hold_ms } => {
                     let text = format!(
@@ -284,12 +286,14 @@
                 Decision::Exclude { router, endpoint, for_ms } => {
                     let id = endpoint.0;
                     log::warn!(
-                        "dispatch: endpoint {id} left out for host {router} for {for_ms} ms"
+                        "dispatch: endpoint {id} excluded for host {router} for {for_ms} ms"
                     );
                 }
                 Decision::Reset { stalled_ms } => {
                     let service = self.service.0;
-                    log::warn!("dispatch: service {service} stalled {stalled_ms} ms, starts anew");
+                    log::warn!(
+                        "dispatch: service {service} stalled for {stalled_ms} ms, state reset"
+                    );
                     self.sessions.clear();
                 }
             }
@@ -302,10 +306,10 @@
         self.trace.decide(RequestId { router, incarnation, seq }, "dispatch", text);
     }
 
-    fn send(&self, router: HostId, message: FromDispatcher, patience: Duration) {
+    fn send(&self, router: HostId, message: FromDispatcher, max_delay: Duration) {
         if let Some(Session { out, .. }) = self.sessions.get(&router) {
-            // A session that has just closed is noticed by its reader.
-            let _ = out.send(Patient { message, patience });
+            // An error means that the session has just been closed, which its reader notices.
+            let _ = out.send(Patient { message, patience: max_delay });
         }
     }
 }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -1,4 +1,4 @@
-//! The link from this router to the dispatcher of one service.
+//! Connection from this router to the dispatcher of one service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,43 +22,45 @@
     Patient, RefuseReason, ToDispatcher,
 };
 
-/// How often a link without a dispatcher looks for one.
-const RETRY: Duration = Duration::from_millis(100);
-/// Longest time that a message waits for others to share its frame.
-const PATIENCE: Duration = Duration::from_millis(MAX_REPORT_DELAY_MS);
-/// A message waits at most this part of the time that requests take.
-const PATIENCE_PART: u32 = REPORT_DELAY_DIVISOR;
-/// Requests over which the time they take is averaged.
-const MEAN_OF: u32 = 16;
+/// Interval at which a link without a dispatcher tries to connect to one.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum time for which a message waits to share a frame with others.
+const MAX_DELAY: Duration = Duration::from_millis(MAX_REPORT_DELAY_MS);
+/// Divisor of the mean run time of requests, which also limits how long a message waits.
+const DELAY_DIVISOR: u32 = REPORT_DELAY_DIVISOR;
+/// Number of requests over which the run time is averaged: a new one has a weight of one part in
+/// this many.
+const MEAN_RUN_SAMPLES: u32 = 16;
 
-/// What the dispatcher decided about a request.
+/// The dispatcher's reply to a grant request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum GrantReply {
     Run(EndpointId),
     Refuse { reason: RefuseReason, retry_after_ms: u32 },
 }
 
 enum Event {
-    Submit { want: GrantRequest, verdict: oneshot::Sender<Verdict> },
+    Submit { request: GrantRequest, reply: oneshot::Sender<GrantReply> },
     Progress { seq: u64, units: u32 },
     Finish { seq: u64, units: u32, completion: Completion },
     Cancel { seq: u64 },
-    Rest { endpoint: EndpointId, time: Millis },
-    Leaving { endpoint: EndpointId, leaves: bool },
-    Up(Connection),
-    Failed { host: HostId },
-    Down { session: u64 },
+    Rest { endpoint: EndpointId, duration_ms: Millis },
+    Leaving { endpoint: EndpointId, is_leaving: bool },
+    Connected(Connection),
+    ConnectFailed { host: HostId },
+    Disconnected { session: u64 },
     Messages { session: u64, messages: Vec<FromDispatcher> },
 }
 
-/// A session with one dispatcher.
+/// A session with a dispatcher.
 struct Connection {
     session: u64,
+    /// Host and incarnation of the dispatcher.
     dispatcher: (HostId, u64),
     out: BatchSender<ToDispatcher>,
 }
 
-/// Sends requests' events to the link's task.
+/// Handle that sends events of requests to the link's task.
 #[derive(Clone, Debug)]
 pub(super) struct Link(mpsc::UnboundedSender<Event>);
 
@@ -71,43 +73,44 @@
             peers: router.peers.clone(),
             alone: router.settings.dispatch == DispatchMode::Alone,
             client: Client::new(*reach.borrow()),
-            verdicts: HashMap::new(),
+            replies: HashMap::new(),
             connection: None,
             connecting: None,
             last_session: 0,
             granted_at: HashMap::new(),
-            mean_run: Duration::ZERO,
+            mean_run_time: Duration::ZERO,
             events: sender.clone(),
         };
         tokio::spawn(task.run(events, reach));
         Link(sender)
     }
 
-    /// Asks for a grant; the ticket must be held until the request has ended.
-    pub fn submit(&self, want: GrantRequest) -> (Ticket, oneshot::Receiver<Verdict>) {
-        let (verdict, receiver) = oneshot::channel();
-        let ticket = Ticket { link: self.clone(), seq: want.seq, units: 0, open: true };
-        self.send(Event::Submit { want, verdict });
+    /// Submits a grant request. The ticket must be held until the request has ended.
+    pub fn submit(&self, request: GrantRequest) -> (Ticket, oneshot::Receiver<GrantReply>) {
+        let (reply, receiver) = oneshot::channel();
+        let ticket = Ticket { link: self.clone(), seq: request.seq, units: 0, open: true };
+        self.send(Event::Submit { request, reply });
         (ticket, receiver)
     }
 
-    /// An endpoint asked this router for so many milliseconds of rest.
-    pub fn rest(&self, endpoint: EndpointId, time: Millis) {
-        self.send(Event::Rest { endpoint, time });
+    /// Records that an endpoint requested a rest of `duration_ms` milliseconds.
+    pub fn record_rest(&self, endpoint: EndpointId, duration_ms: Millis) {
+        self.send(Event::Rest { endpoint, duration_ms });
     }
 
-    /// An endpoint told this router that it leaves, or is back after that.
-    pub fn set_leaving(&self, endpoint: EndpointId, leaves: bool) {
-        self.send(Event::Leaving { endpoint, leaves });
+    /// Records that an endpoint is leaving, or that it is back.
+    pub fn set_leaving(&self, endpoint: EndpointId, is_leaving: bool) {
+        self.send(Event::Leaving { endpoint, is_leaving });
     }
 
     fn send(&self, event: Event) {
-        // The task runs as long as the process.
+        // Sending cannot fail: the task runs as long as the process.
         let _ = self.0.send(event);
     }
 }
 
-/// A request's place at the dispatcher; given back when dropped.
+/// A request queued or running at the dispatcher. Dropping it cancels the request and releases its
+/// slot.
 #[derive(Debug)]
 pub(super) struct Ticket {
     link: Link,
@@ -117,13 +120,13 @@
 }
 
 impl Ticket {
-    /// The running request has used `units` so far.
+    /// Reports that the running request has used `units` so far.
     pub fn progress(&mut self, units: u32) {
         self.units = units;
         self.link.send(Event::Progress { seq: self.seq, units });
     }
 
-    /// The request has ended.
+    /// Reports the end of the request.
     pub fn finish(mut self, units: u32, completion: Completion) {
         self.open = false;
         self.link.send(Event::Finish { seq: self.seq, units, completion });
@@ -147,12 +150,12 @@
     peers: Arc<Peers>,
     alone: bool,
     client: Client,
-    verdicts: HashMap<u64, oneshot::Sender<Verdict>>,
+    replies: HashMap<u64, oneshot::Sender<GrantReply>>,
     connection: Option<(Connection, AbortOnDropHandle<()>)>,
     connecting: Option<((HostId, u64), AbortOnDropHandle<()>)>,
     last_session: u64,
     granted_at: HashMap<u64, Instant>,
-    mean_run: Duration,
+    mean_run_time: Duration,
     events: mpsc::UnboundedSender<Event>,
 }
 
@@ -163,12 +166,12 @@
         mut reach: watch::Receiver<HallSet>,
     ) {
         let mut view = self.peers.watch();
-        let mut retry = tokio::time::interval(RETRY);
-        self.aim(&view.borrow_and_update().clone());
+        let mut retry = tokio::time::interval(RETRY_INTERVAL);
+        self.connect_to_dispatcher(&view.borrow_and_update().clone());
         loop {
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.event(event),
+                    Some(event) => self.on_event(event),
                     None => return,
                 },
                 Ok(()) = view.changed() => {}
@@ -179,13 +182,13 @@
                 _ = retry.tick() => {}
             }
             let current = view.borrow_and_update().clone();
-            self.aim(&current);
+            self.connect_to_dispatcher(&current);
         }
     }
 
-    /// Connects to the dispatcher that the view names, keeping the old session
-    /// until the new one is up.
-    fn aim(&mut self, view: &View) {
+    /// Connects to the dispatcher chosen by the view. The old session stays open until the new one
+    /// is established.
+    fn connect_to_dispatcher(&mut self, view: &View) {
         let target = match self.alone {
             true => view.get(self.peers.me),
             false => view.dispatcher(self.service),
@@ -193,10 +196,10 @@
         let Some(target) = target else {
             return;
         };
-        let wanted = (target.host, target.incarnation);
-        let connected = self.connection.as_ref().is_some_and(|(c, _)| c.dispatcher == wanted);
-        let under_way = self.connecting.as_ref().is_some_and(|(to, _)| *to == wanted);
-        if connected || under_way {
+        let target_id = (target.host, target.incarnation);
+        let is_connected = self.connection.as_ref().is_some_and(|(c, _)| c.dispatcher == target_id);
+        let is_connecting = self.connecting.as_ref().is_some_and(|(to, _)| *to == target_id);
+        if is_connected || is_connecting {
             return;
         }
         self.last_session += 1;
@@ -204,70 +207,70 @@
         let connect =
             connect(self.peers.clone(), target.clone(), self.service, session, self.events.clone());
         let handle = AbortOnDropHandle::new(tokio::spawn(connect));
-        self.connecting = Some((wanted, handle));
+        self.connecting = Some((target_id, handle));
     }
 
-    fn event(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         let now = self.peers.clock.now();
         match event {
-            Event::Submit { want, verdict } => self.submit(want, verdict),
+            Event::Submit { request, reply } => self.on_submit(request, reply),
             Event::Progress { seq, units } => {
                 let message = self.client.progress(seq, units);
                 self.send(message);
             }
             Event::Finish { seq, units, completion } => {
-                self.verdicts.remove(&seq);
-                self.learn_run(seq);
+                self.replies.remove(&seq);
+                self.record_run_time(seq);
                 let message = self.client.finish(seq, units, completion);
                 self.send(message);
             }
             Event::Cancel { seq } => {
-                self.verdicts.remove(&seq);
+                self.replies.remove(&seq);
                 let message = self.client.cancel(seq);
                 self.send(message);
             }
-            Event::Rest { endpoint, time } => {
-                let message = self.client.record_rest(now, endpoint, time);
+            Event::Rest { endpoint, duration_ms } => {
+                let message = self.client.record_rest(now, endpoint, duration_ms);
                 self.send(message);
             }
-            Event::Leaving { endpoint, leaves } => {
-                let message = self.client.set_leaving(endpoint, leaves);
+            Event::Leaving { endpoint, is_leaving } => {
+                let message = self.client.set_leaving(endpoint, is_leaving);
                 self.send(message);
             }
-            Event::Up(connection) => self.up(connection),
-            Event::Failed { host } => {
+            Event::Connected(connection) => self.on_connected(connection),
+            Event::ConnectFailed { host } => {
                 self.connecting = None;
                 self.peers.avoid(host);
             }
-            Event::Down { session } => self.down(session),
+            Event::Disconnected { session } => self.on_disconnected(session),
             Event::Messages { session, messages } => {
                 for message in messages {
                     let received = self.client.receive(now, session, message);
-                    self.received(received);
+                    self.on_received(received);
                 }
             }
         }
     }
 
-    fn submit(&mut self, want: GrantRequest, verdict: oneshot::Sender<Verdict>) {
+    fn on_submit(&mut self, request: GrantRequest, reply: oneshot::Sender<GrantReply>) {
         let now = self.peers.clock.now();
-        let seq = want.seq;
-        match self.client.submit(now, want) {
+        let seq = request.seq;
+        match self.client.submit(now, request) {
             Submitted::Refused { reason, retry_after_ms } => {
-                // The caller may have left.
-                let _ = verdict.send(Verdict::Refuse { reason, retry_after_ms });
+                // The caller may have disconnected.
+                let _ = reply.send(GrantReply::Refuse { reason, retry_after_ms });
             }
             Submitted::Queued => {
-                self.verdicts.insert(seq, verdict);
+                self.replies.insert(seq, reply);
             }
             Submitted::Send(message) => {
-                self.verdicts.insert(seq, verdict);
+                self.replies.insert(seq, reply);
                 self.send(Some(message));
             }
         }
     }
 
-    fn up(&mut self, connection: Connection) {
+    fn on_connected(&mut self, connection: Connection) {
         let Some((to, handle)) = self.connecting.take() else {
             return;
         };
@@ -285,62 +288,65 @@
         }
     }
 
-    fn down(&mut self, session: u64) {
+    fn on_disconnected(&mut self, session: u64) {
         if self.connection.as_ref().is_some_and(|(c, _)| c.session == session) {
             self.connection = None;
             self.client.detach();
         }
     }
 
-    fn received(&mut self, received: Received) {
+    fn on_received(&mut self, received: Received) {
         match received {
             Received::Run { seq, endpoint } => {
                 self.granted_at.insert(seq, Instant::now());
-                self.deliver(seq, Verdict::Run(endpoint));
+                self.deliver(seq, GrantReply::Run(endpoint));
             }
             Received::Refuse { seq, reason, retry_after_ms } => {
-                self.deliver(seq, Verdict::Refuse { reason, retry_after_ms });
+                self.deliver(seq, GrantReply::Refuse { reason, retry_after_ms });
             }
             Received::Reply(message) => self.send(Some(message)),
             Received::Nothing => {}
         }
     }
 
-    fn deliver(&mut self, seq: u64, verdict: Verdict) {
-        let taken = self.verdicts.remove(&seq).is_some_and(|v| v.send(verdict).is_ok());
-        if !taken {
+    fn deliver(&mut self, seq: u64, reply: GrantReply) {
+        let is_received = self.replies.remove(&seq).is_some_and(|v| v.send(reply).is_ok());
+        if !is_received {
             self.granted_at.remove(&seq);
             let message = self.client.finish(seq, 0, Completion::Unused);
             self.send(message);
         }
     }
 
-    /// How long a message may wait for others: reports a small part of the time
-    /// that requests take here, wants only where others wait already.
-    fn patience(&self, message: &ToDispatcher) -> Duration {
-        let of_reports = self.mean_run / PATIENCE_PART;
+    /// How long a message may wait to share a frame. Reports may wait for a small part of the mean
+    /// run time of requests; grant requests may do so only if other requests are waiting already.
+    fn max_delay(&self, message: &ToDispatcher) -> Duration {
+        let report_delay = self.mean_run_time / DELAY_DIVISOR;
         match message {
-            ToDispatcher::Done { .. } | ToDispatcher::Progress { .. } => of_reports.min(PATIENCE),
+            ToDispatcher::Done { .. } | ToDispatcher::Progress { .. } => {
+                report_delay.min(MAX_DELAY)
+            }
             ToDispatcher::GrantRequest(_) if self.client.waiting_count() > 1 => {
-                of_reports.min(PATIENCE)
+                report_delay.min(MAX_DELAY)
             }
             _ => Duration::ZERO,
         }
     }
 
-    /// Learns how long granted requests take.
-    fn learn_run(&mut self, seq: u64) {
+    /// Updates the mean run time of granted requests.
+    fn record_run_time(&mut self, seq: u64) {
         if let Some(since) = self.granted_at.remove(&seq) {
             let run = Instant::now() - since;
-            self.mean_run = (self.mean_run * (MEAN_OF - 1) + run) / MEAN_OF;
+            self.mean_run_time =
+                (self.mean_run_time * (MEAN_RUN_SAMPLES - 1) + run) / MEAN_RUN_SAMPLES;
         }
     }
 
     fn send(&self, message: Option<ToDispatcher>) {
         if let (Some(message), Some((connection, _))) = (message, &self.connection) {
-            // A broken connection is noticed by its reader.
-            let patience = self.patience(&message);
-            let _ = connection.out.send(Patient { message, patience });
+            // An error means that the connection is closed, which its reader notices.
+            let max_delay = self.max_delay(&message);
+            let _ = connection.out.send(Patient { message, patience: max_delay });
         }
     }
 }
@@ -359,8 +365,8 @@
         false => peers.connect(target.peer, &open).await.ok(),
     };
     let Some((reader, writer)) = connected else {
-        // The task that hears this runs as long as the process.
-        let _ = events.send(Event::Failed { host });
+        // Sending cannot fail: the link's task runs as long as the process.
+        let _ = events.send(Event::ConnectFailed { host });
         return;
     };
     let sent = (host != peers.me).then(|| peers.sent.clone());
@@ -372,13 +378,14 @@
     });
     let writing = AbortOnDropHandle::new(tokio::spawn(write));
     let dispatcher = (host, target.incarnation);
-    // Requests wait here for grants, and nothing else would show that none can come.
+    // Requests wait for grants on this session. Without ending it on silence, nothing would show
+    // that no grant can arrive.
     let mut reader = reader.ends_when_silent();
-    let _ = events.send(Event::Up(Connection { session, dispatcher, out }));
+    let _ = events.send(Event::Connected(Connection { session, dispatcher, out }));
     while let Ok(messages) = reader.next::<Vec<FromDispatcher>>().await {
         peers.links.clear_from(host).await;
         let _ = events.send(Event::Messages { session, messages });
     }
     drop(writing);
-    let _ = events.send(Event::Down { session });
+    let _ = events.send(Event::Disconnected { session });
 }
--- a/src/router/notices.rs
+++ b/src/router/notices.rs
@@ -1,7 +1,7 @@
-//! What endpoints say of themselves in their answers, where a router hears it.
+//! Records the notices that endpoints give in their answers to this router.
 //!
-//! Endpoints are declared by operators, and do not say when they started. One that said that
-//! it leaves counts as started again once it has refused a connection and takes one again.
+//! Endpoints are declared by operators and do not report when they started. A leaving endpoint
+//! counts as restarted once it has refused a connection and then accepts one again.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -17,18 +17,18 @@
 use crate::dispatch::Millis;
 use crate::notice::{Notice, RequestedRest, Rest};
 
-/// How often it is looked whether an endpoint that leaves has ended, or is back: more often
-/// than a process can end and be started again.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Longest time for which an endpoint is taken to leave. A planned stop ends within minutes;
-/// one that was started again unseen is used again.
-const LONGEST_LEAVE: Duration = Duration::from_secs(600);
+/// Interval between connection attempts that check whether a leaving endpoint has stopped or is
+/// back. It is shorter than a process takes to stop and start again.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest time for which an endpoint counts as leaving. A planned stop ends within minutes; after
+/// this time, an endpoint whose restart was not noticed is used again.
+const MAX_LEAVING_TIME: Duration = Duration::from_secs(600);
 
-/// What endpoints said.
+/// Which endpoints are leaving, and which are resting.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct EndpointNotices {
     leaving: Mutex<HashSet<EndpointId>>,
     rests: Mutex<HashMap<EndpointId, Rest>>,
 }
@@ -37,70 +37,72 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Heard {
-    /// Whether an endpoint said that it leaves.
+impl EndpointNotices {
+    /// Whether an endpoint has reported that it is leaving.
     pub fn is_leaving(&self, endpoint: EndpointId) -> bool {
         lock(&self.leaving).contains(&endpoint)
     }
 
-    /// Milliseconds that are left of an endpoint's rest.
-    pub fn rest_left(&self, now: Millis, endpoint: EndpointId) -> Option<Millis> {
+    /// Remaining milliseconds of an endpoint's rest.
+    pub fn remaining_rest(&self, now: Millis, endpoint: EndpointId) -> Option<Millis> {
         lock(&self.rests).get(&endpoint)?.remaining(now)
     }
 
-    fn leaves(&self, endpoint: EndpointId) -> bool {
+    fn record_leaving(&self, endpoint: EndpointId) -> bool {
         lock(&self.leaving).insert(endpoint)
     }
 
-    fn is_back(&self, endpoint: EndpointId) {
+    fn clear(&self, endpoint: EndpointId) {
         lock(&self.leaving).remove(&endpoint);
         lock(&self.rests).remove(&endpoint);
     }
 
-    fn rests(&self, now: Millis, endpoint: EndpointId, time: Millis) {
+    fn record_rest(&self, now: Millis, endpoint: EndpointId, duration_ms: Millis) {
         let mut rests = lock(&self.rests);
         rests.retain(|_, rest| rest.remaining(now).is_some());
-        rests.entry(endpoint).or_default().extend(now, time);
+        rests.entry(endpoint).or_default().extend(now, duration_ms);
     }
 }
 
 impl Job {
-    /// Takes in what an answer says of its endpoint.
-    pub(super) fn take_notice(&self, endpoint: EndpointId, name: &str, notice: &Notice) {
-        self.router.take_notice(self.service_id, endpoint, name, notice);
+    /// Records the notice in an answer of an endpoint.
+    pub(super) fn record_notice(&self, endpoint: EndpointId, name: &str, notice: &Notice) {
+        self.router.record_notice(self.service_id, endpoint, name, notice);
     }
 }
 
 impl Router {
-    /// Whether an endpoint may get a request at this moment.
-    pub(super) fn takes_work(&self, endpoint: EndpointId) -> bool {
+    /// Whether an endpoint may be sent a request now.
+    pub(super) fn accepts_work(&self, endpoint: EndpointId) -> bool {
         let now = self.peers.clock.now();
-        !self.is_leaving(endpoint) && self.heard.rest_left(now, endpoint).is_none()
+        !self.is_leaving(endpoint) && self.notices.remaining_rest(now, endpoint).is_none()
     }
 
-    /// Takes in what an answer says of its endpoint, and tells the dispatcher of its service:
-    /// that one decides for all routers, and hears no answer itself.
-    pub(super) fn take_notice(
+    /// Records the notice in an answer of an endpoint and reports it to the dispatcher of its
+    /// service, which decides for all routers and receives no answers itself.
+    pub(super) fn record_notice(
         self: &Arc<Self>,
         service: ServiceId,
         endpoint: EndpointId,
         name: &str,
         notice: &Notice,
     ) {
-        if notice.leaves && self.heard.leaves(endpoint) {
-            log::info!("router: endpoint {name} says in an answer that it leaves");
+        if notice.leaves && self.notices.record_leaving(endpoint) {
+            log::info!("router: endpoint {name} reports in an answer that it is leaving");
             self.link(service).set_leaving(endpoint, true);
-            tokio::spawn(watch_return(self.clone(), service, endpoint));
+            tokio::spawn(watch_for_return(self.clone(), service, endpoint));
         }
         match &notice.rest {
             RequestedRest::None => {}
-            RequestedRest::For(time) => {
-                log::info!("router: endpoint {name} asks for {time} ms of rest");
-                self.heard.rests(self.peers.clock.now(), endpoint, *time);
-                self.link(service).rest(endpoint, *time);
+            RequestedRest::For(duration_ms) => {
+                log::info!("router: endpoint {name} requests a rest of {duration_ms} ms");
+                self.notices.record_rest(self.peers.clock.now(), endpoint, *duration_ms);
+                self.link(service).record_rest(endpoint, *duration_ms);
             }
-            RequestedRest::Unreadable(says) => {
-                log::info!("router: endpoint {name} asks for no time: {says:?}");
+            RequestedRest::Unreadable(value) => {
+                log::info!(
+                    "router: endpoint {name} requests a rest of unreadable duration: {value:?}"
+                );
             }
         }
     }
@@ -110,25 +112,29 @@
     }
 }
 
-/// Waits until an endpoint that leaves has ended and is back, or is declared elsewhere.
-async fn watch_return(router: Arc<Router>, service: ServiceId, endpoint: EndpointId) {
-    let since = BootInstant::now();
+/// Waits until a leaving endpoint has stopped and is back, until it is declared at another address
+/// or until [`MAX_LEAVING_TIME`] has passed, and then clears its notices.
+async fn watch_for_return(router: Arc<Router>, service: ServiceId, endpoint: EndpointId) {
+    let started_at = BootInstant::now();
     let address = router.address_of(endpoint);
     let mut has_ended = false;
     while let Some(address) = address.filter(|_| router.address_of(endpoint) == address) {
-        if since.elapsed() > LONGEST_LEAVE {
+        if started_at.elapsed() > MAX_LEAVING_TIME {
             break;
         }
-        match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
+        match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_)) if has_ended => break,
             Ok(Ok(_)) => {}
-            // A silent one may be cut off: that is no end.
+            // A time-out does not prove that the endpoint has stopped: it may be cut off.
             Err(_) => {}
             Ok(Err(_)) => has_ended = true,
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(RECONNECT_INTERVAL).await;
     }
-    log::info!("router: endpoint {} is back, or declared elsewhere", endpoint.0);
-    router.heard.is_back(endpoint);
+    log::info!(
+        "router: endpoint {} is no longer leaving: back, declared elsewhere or timed out",
+        endpoint.0
+    );
+    router.notices.clear(endpoint);
     router.link(service).set_leaving(endpoint, false);
 }
--- a/src/router/reach.rs
+++ b/src/router/reach.rs
@@ -1,4 +1,4 @@
-//! Which data halls' endpoints this router can reach.
+//! Tracks the data halls whose endpoints this router can reach.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,11 +9,13 @@
 use crate::config::{Config, HallId, HallSet};
 use crate::member::View;
 
-const INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two checks of all data halls.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time limit for opening a connection to an endpoint.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Keeps the set of halls in reach up to date. A hall is in reach when one of
-/// its hosts is live or one of its endpoints takes a connection.
+/// Keeps the set of data halls in reach up to date. A hall is in reach if one of its hosts is live
+/// or its first endpoint accepts a connection.
 pub async fn follow(router: Arc<Router>) {
     let mut version = router.configs.watch();
     loop {
@@ -21,11 +23,11 @@
         let view = router.peers.view();
         let mut reach = HallSet::default();
         for (id, name) in &config.halls {
-            if in_reach(&router, &config, &view, *id, name).await {
+            if is_in_reach(&router, &config, &view, *id, name).await {
                 reach = reach.with(*id);
             }
         }
-        // Before the first configuration nothing is known to be out of reach.
+        // Without a configuration no data hall is known to be out of reach.
         let reach = if config.halls.is_empty() { HallSet::ALL } else { reach };
         router.reach.send_if_modified(|current| {
             let changed = *current != reach;
@@ -36,13 +38,19 @@
             changed
         });
         tokio::select! {
-            () = tokio::time::sleep(INTERVAL) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
             changed = version.changed() => if changed.is_err() { return },
         }
     }
 }
 
-async fn in_reach(router: &Router, config: &Config, view: &View, id: HallId, name: &str) -> bool {
+async fn is_in_reach(
+    router: &Router,
+    config: &Config,
+    view: &View,
+    id: HallId,
+    name: &str,
+) -> bool {
     if router.peers.links.is_hall_cut(name) {
         return false;
     }
--- a/src/router/once.rs
+++ b/src/router/run_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: claimed before the first byte leaves.
+//! Run-once calls, which may not be repeated: each is claimed before its first byte is sent.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 };
 use crate::delivery::{Answer, Attempt, NotRunReason, Outcome, UnknownReason, header};
 
-/// How long a claim may take.
-const CLAIM_LIMIT: Duration = Duration::from_secs(3);
-/// How long a look at an earlier claim may take; without an answer the call
-/// goes on to its claim, which decides.
-const LOOK_LIMIT: Duration = Duration::from_millis(500);
-/// How long the caller's answer may wait for the settlement.
-const SETTLE_LIMIT: Duration = Duration::from_millis(500);
-/// Time to come back after when the key is held or cannot be claimed.
-const RETRY_MS: u32 = 1_000;
+/// Time limit for a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit for looking up an earlier claim. Without an answer the call proceeds to its own
+/// claim, which decides.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum time for which the caller's answer is held back for the settlement.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time after which callers may retry if the key is held or cannot be claimed, in milliseconds.
+const RETRY_AFTER_MS: u32 = 1_000;
 
-/// The claim of a job's call; none when the caller gave no key, so that
-/// resends cannot be told from new calls.
+/// Returns the claim for a job's call, or `None` if the caller gave no key, as resends cannot be
+/// distinguished from new calls then.
 fn claim_of(job: &Job) -> Option<Claim> {
     let key = header::text(&job.call.headers, header::KEY)?;
     let call = &job.call;
@@ -34,22 +34,24 @@
         attempt: Claimant {
             router: job.router.peers.me,
             incarnation: job.router.peers.incarnation,
-            seq: job.want_seq,
+            seq: job.grant_seq,
         },
     })
 }
 
-/// What is known of an earlier send of the same key, before it queues again.
-pub(super) async fn earlier(job: &Job) -> Option<Outcome> {
+/// Returns the outcome of an earlier call with the same key, if known. Checked before the call
+/// queues for a grant.
+pub(super) async fn earlier_outcome(job: &Job) -> Option<Outcome> {
     let claim = claim_of(job)?;
     if job.router.is_stale() {
-        return Some(Outcome::NotRun(NotRunReason::NoMajority, RETRY_MS));
+        return Some(Outcome::NotRun(NotRunReason::NoMajority, RETRY_AFTER_MS));
     }
-    let claimed = job.router.claims.look(claim, LOOK_LIMIT).await?;
-    held(&job.router, claimed)
+    let claimed = job.router.claims.look(claim, LOOKUP_TIMEOUT).await?;
+    held_outcome(&job.router, claimed)
 }
 
-/// Claims the call if it has a key. Without a majority it does not run.
+/// Claims a run-once call that has a key. Without a majority of control hosts, the call does not
+/// run.
 pub(super) async fn claim(job: &Job) -> Result<Option<Claim>, Outcome> {
     if !job.call.run_once {
         return Ok(None);
@@ -57,24 +59,25 @@
     let Some(claim) = claim_of(job) else {
         return Ok(None);
     };
-    let left = job.deadline.remaining();
-    let claimed = job.router.claims.claim(claim.clone(), left.min(CLAIM_LIMIT)).await;
+    let remaining = job.deadline.remaining();
+    let claimed = job.router.claims.claim(claim.clone(), remaining.min(CLAIM_TIMEOUT)).await;
     let Some(claimed) = claimed else {
-        return Err(Outcome::NotRun(NotRunReason::NoMajority, RETRY_MS));
+        return Err(Outcome::NotRun(NotRunReason::NoMajority, RETRY_AFTER_MS));
     };
-    match held(&job.router, claimed) {
+    match held_outcome(&job.router, claimed) {
         None => Ok(Some(claim)),
         Some(outcome) => Err(outcome),
     }
 }
 
-/// What a caller is told of a key that is held; none when it was granted.
-fn held(router: &Router, claimed: Claimed) -> Option<Outcome> {
+/// Returns the outcome for a call whose key is held by another call, or `None` if the claim was
+/// granted.
+fn held_outcome(router: &Router, claimed: Claimed) -> Option<Outcome> {
     match claimed {
         Claimed::Granted => None,
-        Claimed::Running(holder) => Some(match is_live(router, holder) {
-            true => Outcome::Running(RETRY_MS),
-            // The holder is gone without a word: the call may have run.
+        Claimed::Running(holder) => Some(match is_holder_live(router, holder) {
+            true => Outcome::Running(RETRY_AFTER_MS),
+            // The holder is gone without having settled its claim: the call may have run.
             false => Outcome::Unknown(UnknownReason::Earlier),
         }),
         Claimed::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
@@ -87,7 +90,7 @@
     }
 }
 
-fn is_live(router: &Router, holder: Claimant) -> bool {
+fn is_holder_live(router: &Router, holder: Claimant) -> bool {
     let view = router.peers.view();
     let member = view.get(holder.router);
     member.is_some_and(|m| m.incarnation == holder.incarnation)
@@ -98,22 +101,21 @@
     if let Ok(status) = StatusCode::from_u16(answer.status) {
         *response.status_mut() = status;
     }
-    let kind = answer.content_type.and_then(|k| HeaderValue::from_str(&k).ok());
-    if let Some(kind) = kind {
-        response.headers_mut().insert("content-type", kind);
+    let content_type = answer.content_type.and_then(|k| HeaderValue::from_str(&k).ok());
+    if let Some(content_type) = content_type {
+        response.headers_mut().insert("content-type", content_type);
     }
     response.headers_mut().insert(header::REPLAYED, HeaderValue::from_static("1"));
     response
 }
 
-/// Records how a claimed call ended, before its caller is told, so that a resend
-/// finds it.
+/// Records the result of a claimed call before its caller is answered, so that a resend finds it.
 pub(super) async fn settle(router: &Router, claim: Claim, attempt: &Attempt) {
     let settlement = match attempt {
         Attempt::Answered(Answer::Complete(response)) => {
             let body = response.body();
-            let small = body.len() <= MAX_KEPT_ANSWER;
-            Settlement::Answered(small.then(|| RecordedAnswer {
+            let is_recordable = body.len() <= MAX_KEPT_ANSWER;
+            Settlement::Answered(is_recordable.then(|| RecordedAnswer {
                 status: response.status().as_u16(),
                 content_type: header::text(response.headers(), "content-type").map(String::from),
                 body: body.to_vec(),
@@ -123,5 +125,5 @@
         Attempt::NotSent | Attempt::Refused => Settlement::NotRun,
         Attempt::Unknown(_) => Settlement::Unknown,
     };
-    router.claims.settled(claim, settlement, SETTLE_LIMIT).await;
+    router.claims.settled(claim, settlement, SETTLE_TIMEOUT).await;
 }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -1,4 +1,4 @@
-//! One request from admission to answer.
+//! Handles one request from admission to answer.
 
 mod request;
 
@@ -13,9 +13,9 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::link::{Ticket, Verdict};
+use super::link::{GrantReply, Ticket};
 use super::state::Router;
-use super::{once, stream};
+use super::{run_once, stream};
 use crate::admission::Denied;
 use crate::clock::BootInstant;
 use crate::config::{CustomerId, EndpointId, Service, ServiceId, ServiceKind};
@@ -27,13 +27,13 @@
 use crate::telemetry::RequestId;
 use crate::wire::{Completion, GrantRequest, RefuseReason};
 
-/// Time to come back after when nothing better is known, in milliseconds.
-const RETRY_MS: u32 = 1_000;
+/// Time after which callers may retry if no better estimate is known, in milliseconds.
+const RETRY_AFTER_MS: u32 = 1_000;
 
-/// Times that one request is tried in all.
+/// Maximum number of attempts for one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// A request that has found its customer and service.
+/// A request whose customer and service have been resolved.
 pub(super) struct Job {
     pub router: Arc<Router>,
     pub id: RequestId,
@@ -42,28 +42,30 @@
     pub service_id: ServiceId,
     pub service: Service,
     pub call: Call,
-    /// What it has in common with the same request when it comes again.
+    /// Identifies the request when it is sent again with another id.
     pub fingerprint: Fingerprint,
     pub deadline: BootInstant,
     prompt_tokens: u32,
     prefix: Vec<u32>,
-    wants: u32,
-    /// Number of the newest want; names the attempt towards claims.
-    pub want_seq: u64,
+    /// Number of grant requests so far.
+    grant_requests: u32,
+    /// Sequence number of the latest grant request; identifies the attempt in claims.
+    pub grant_seq: u64,
 }
 
-/// What follows from one attempt.
-enum Next {
+/// What to do after an attempt.
+enum NextStep {
     Finish(Outcome),
-    /// Try again; `free` when it costs nothing of the retry budget.
-    Again {
-        free: bool,
-        otherwise: Outcome,
+    /// Retry, or finish with `fallback` if no retry is left. A retry that `is_free` is not charged
+    /// to the retry budget.
+    Retry {
+        is_free: bool,
+        fallback: Outcome,
     },
 }
 
 impl Router {
-    /// Serves a request and says what became of it.
+    /// Handles a request and returns the response that reports its outcome.
     pub async fn serve(self: &Arc<Self>, request: Request) -> Response<Body> {
         let id = self.next_id();
         let service = request.service.clone();
@@ -72,22 +74,22 @@
             Err(outcome) => outcome,
         };
         let (name, reason) = (outcome.name(), outcome.reason());
-        let known = self.config().service_id(&service).is_some();
-        let label = if known { service.as_str() } else { "unknown" };
+        let is_known = self.config().service_id(&service).is_some();
+        let label = if is_known { service.as_str() } else { "unknown" };
         self.metrics.requests.with_label_values(&[label, name, reason]).inc();
         self.trace.decide(id, "delivery", format!("{name} {reason}").trim_end().to_string());
         outcome.into_response(&id.to_string())
     }
 }
 
-/// A request's place in its customer's bound; given back when it stops waiting.
-struct Place {
+/// A waiting request counted against its customer's limits; released on drop.
+struct AdmissionPermit {
     router: Arc<Router>,
     customer: CustomerId,
     bytes: u64,
 }
 
-impl Drop for Place {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let mut admission = self.router.admission.lock().unwrap_or_else(PoisonError::into_inner);
         admission.release(self.customer, self.bytes);
@@ -99,21 +101,21 @@
         self.router.trace.decide(self.id, part, text);
     }
 
-    /// Enters the queue, or is refused at once.
+    /// Admits and runs the request, or refuses it at once.
     async fn admit(self) -> Outcome {
-        if let Some(refused) = self.crashes_endpoints() {
+        if let Some(refused) = self.crash_refusal() {
             self.decide("admission", format!("refused, fingerprint {}", self.fingerprint));
             return refused;
         }
-        match self.enter() {
-            Ok(place) => {
+        match self.acquire_permit() {
+            Ok(permit) => {
                 let (name, service) = (&self.customer_name, &self.service.name);
                 let path = &self.call.path;
                 self.decide("admission", format!("of {name} for {service} {path} admitted"));
                 self.router.with_budget(self.customer, |b| b.earn());
                 match self.call.run_once {
-                    false => self.run(place).await,
-                    true => self.run_to_the_end(place).await,
+                    false => self.run(permit).await,
+                    true => self.run_to_completion(permit).await,
                 }
             }
             Err(denied) => {
@@ -122,12 +124,12 @@
                     Denied::TooManyRequests => NotRunReason::Refused(RefuseReason::QueueFull),
                     Denied::TooManyBytes => NotRunReason::TooManyBytes,
                 };
-                Outcome::NotRun(reason, RETRY_MS)
+                Outcome::NotRun(reason, RETRY_AFTER_MS)
             }
         }
     }
 
-    fn enter(&self) -> Result<Place, Denied> {
+    fn acquire_permit(&self) -> Result<AdmissionPermit, Denied> {
         let config = self.router.config();
         let bytes = self.call.body.len() as u64;
         let Some(customer) = config.customers.get(&self.customer) else {
@@ -136,192 +138,197 @@
         let mut admission = self.router.admission.lock().unwrap_or_else(PoisonError::into_inner);
         admission.admit(self.customer, customer, bytes)?;
         let (router, customer) = (self.router.clone(), self.customer);
-        Ok(Place { router, customer, bytes })
+        Ok(AdmissionPermit { router, customer, bytes })
     }
 
-    /// Runs a call that may not be repeated even when its caller leaves, so
-    /// that its answer is recorded.
-    async fn run_to_the_end(self, place: Place) -> Outcome {
-        let runs = self.router.runs.clone();
-        let run = runs.spawn(async move {
-            match once::earlier(&self).await {
+    /// Runs a run-once call in a task of its own, so that its answer is recorded even if its caller
+    /// disconnects.
+    async fn run_to_completion(self, permit: AdmissionPermit) -> Outcome {
+        let calls = self.router.run_once_calls.clone();
+        let run = calls.spawn(async move {
+            match run_once::earlier_outcome(&self).await {
                 Some(outcome) => outcome,
-                None => self.run(place).await,
+                None => self.run(permit).await,
             }
         });
         run.await.unwrap_or(Outcome::Unknown(UnknownReason::Broken))
     }
 
-    async fn run(mut self, place: Place) -> Outcome {
-        let mut place = Some(place);
+    async fn run(mut self, permit: AdmissionPermit) -> Outcome {
+        let mut permit = Some(permit);
         loop {
-            let (ticket, endpoint) = match self.wait().await {
+            let (ticket, endpoint) = match self.wait_for_grant().await {
                 Ok(granted) => granted,
                 Err(outcome) => return outcome,
             };
-            // It no longer waits.
-            drop(place.take());
-            let (free, otherwise) = match self.attempt(ticket, endpoint).await {
-                Next::Finish(outcome) => return outcome,
-                Next::Again { free, otherwise } => (free, otherwise),
+            // The request has been granted and no longer counts as waiting.
+            drop(permit.take());
+            let (is_free, fallback) = match self.attempt(ticket, endpoint).await {
+                NextStep::Finish(outcome) => return outcome,
+                NextStep::Retry { is_free, fallback } => (is_free, fallback),
             };
-            let late = self.deadline.remaining().is_zero();
-            if late
-                || self.wants >= MAX_ATTEMPTS
-                || !(free || self.router.with_budget(self.customer, |b| b.spend()))
+            let is_expired = self.deadline.remaining().is_zero();
+            if is_expired
+                || self.grant_requests >= MAX_ATTEMPTS
+                || !(is_free || self.router.with_budget(self.customer, |b| b.spend()))
             {
-                return otherwise;
+                return fallback;
             }
-            if self.crashes_endpoints().is_some() {
-                return otherwise;
+            if self.crash_refusal().is_some() {
+                return fallback;
             }
             self.router.metrics.retries.inc();
-            self.decide("delivery", format!("tries again after {}", otherwise.reason()));
+            self.decide("delivery", format!("tries again after {}", fallback.reason()));
         }
     }
 
     /// Waits for a grant, a refusal or the deadline.
-    async fn wait(&mut self) -> Result<(Ticket, EndpointId), Outcome> {
-        let left = self.deadline.remaining();
-        self.wants += 1;
-        let want_id = match self.wants {
+    async fn wait_for_grant(&mut self) -> Result<(Ticket, EndpointId), Outcome> {
+        let remaining = self.deadline.remaining();
+        self.grant_requests += 1;
+        let grant_id = match self.grant_requests {
             1 => self.id,
             _ => self.router.next_id(),
         };
-        self.want_seq = want_id.seq;
-        let want = GrantRequest {
-            seq: want_id.seq,
+        self.grant_seq = grant_id.seq;
+        let request = GrantRequest {
+            seq: grant_id.seq,
             customer: self.customer,
             input: self.prompt_tokens * self.service.input_weight,
-            start_within_ms: left.as_millis() as u32,
+            start_within_ms: remaining.as_millis() as u32,
             prefix: self.prefix.clone(),
         };
-        if want_id != self.id {
-            // The dispatcher's decisions are found under the number of the want.
-            self.decide("dispatch", format!("asks again as {want_id}"));
+        if grant_id != self.id {
+            // The dispatcher records its decisions under the id of the grant request.
+            self.decide("dispatch", format!("asks again as {grant_id}"));
         }
-        let (ticket, verdict) = self.router.link(self.service_id).submit(want);
-        match tokio::time::timeout(self.deadline.remaining(), verdict).await {
-            Ok(Ok(Verdict::Run(endpoint))) => Ok((ticket, endpoint)),
-            Ok(Ok(Verdict::Refuse { reason, retry_after_ms })) => {
+        let (ticket, reply) = self.router.link(self.service_id).submit(request);
+        match tokio::time::timeout(self.deadline.remaining(), reply).await {
+            Ok(Ok(GrantReply::Run(endpoint))) => Ok((ticket, endpoint)),
+            Ok(Ok(GrantReply::Refuse { reason, retry_after_ms })) => {
                 Err(Outcome::NotRun(NotRunReason::Refused(reason), retry_after_ms))
             }
             Ok(Err(_)) | Err(_) => {
                 let reason = NotRunReason::Refused(RefuseReason::DeadlineUnmet);
-                Err(Outcome::NotRun(reason, RETRY_MS))
+                Err(Outcome::NotRun(reason, RETRY_AFTER_MS))
             }
         }
     }
 
-    async fn attempt(&mut self, ticket: Ticket, endpoint: EndpointId) -> Next {
-        let refused = || Outcome::NotRun(NotRunReason::EndpointsRefuse, RETRY_MS);
+    async fn attempt(&mut self, ticket: Ticket, endpoint: EndpointId) -> NextStep {
+        let endpoints_refuse = || Outcome::NotRun(NotRunReason::EndpointsRefuse, RETRY_AFTER_MS);
         let config = self.router.config();
-        if self.wants == 1
-            && let Some(refused) = self.crashes_endpoints()
+        if self.grant_requests == 1
+            && let Some(refused) = self.crash_refusal()
         {
             ticket.finish(0, Completion::Unused);
-            return Next::Finish(refused);
+            return NextStep::Finish(refused);
         }
-        let declared = config.endpoints.get(&endpoint).filter(|_| self.router.takes_work(endpoint));
+        let declared =
+            config.endpoints.get(&endpoint).filter(|_| self.router.accepts_work(endpoint));
         let Some(declared) = declared else {
             ticket.finish(0, Completion::Unused);
-            return Next::Again { free: true, otherwise: refused() };
+            return NextStep::Retry { is_free: true, fallback: endpoints_refuse() };
         };
         let address = declared.address.parse::<SocketAddr>().ok();
         let address = address.filter(|_| !self.router.peers.links.is_hall_cut(&declared.hall));
         let Some(address) = address else {
             ticket.finish(0, Completion::Failed);
-            return Next::Again { free: false, otherwise: refused() };
+            return NextStep::Retry { is_free: false, fallback: endpoints_refuse() };
         };
-        let claim = match once::claim(self).await {
+        let claim = match run_once::claim(self).await {
             Ok(claim) => claim,
             Err(outcome) => {
                 ticket.finish(0, Completion::Unused);
-                return Next::Finish(outcome);
+                return NextStep::Finish(outcome);
             }
         };
-        // Until its key was claimed, the endpoint may have begun to leave or to rest.
-        if !self.router.takes_work(endpoint) {
+        // The endpoint may have begun to leave or to rest while the key was being claimed.
+        if !self.router.accepts_work(endpoint) {
             if let Some(claim) = claim {
-                once::settle(&self.router, claim, &Attempt::NotSent).await;
+                run_once::settle(&self.router, claim, &Attempt::NotSent).await;
             }
             ticket.finish(0, Completion::Unused);
-            return Next::Again { free: true, otherwise: refused() };
+            return NextStep::Retry { is_free: true, fallback: endpoints_refuse() };
         }
         self.decide("delivery", format!("calls endpoint {}", declared.name));
         let started = Instant::now();
         let limit = self.deadline.remaining();
         let AttemptReport { attempt, notice } =
             self.router.endpoint_client.attempt(address, &self.call, limit).await;
-        self.take_notice(endpoint, &declared.name, &notice);
+        self.record_notice(endpoint, &declared.name, &notice);
         if let Some(claim) = claim {
-            once::settle(&self.router, claim, &attempt).await;
+            run_once::settle(&self.router, claim, &attempt).await;
         }
         if matches!(attempt, Attempt::Refused)
             && let Some(rest) = notice.rest.duration_ms()
         {
-            // It gets the rest that it asked for, and is not taken to have failed besides.
+            // The endpoint requested a rest; the refusal does not count as a failure as well.
             ticket.finish(0, Completion::Unused);
             let reason = NotRunReason::Refused(RefuseReason::EndpointsRest);
-            return Next::Again { free: false, otherwise: Outcome::NotRun(reason, rest as u32) };
+            return NextStep::Retry {
+                is_free: false,
+                fallback: Outcome::NotRun(reason, rest as u32),
+            };
         }
         match attempt {
             Attempt::Answered(Answer::Complete(response)) => {
                 self.router.guard.record_served(&self.fingerprint);
-                let units = self.units_of(&response, started);
-                self.count(units);
+                let units = self.units_used(&response, started);
+                self.count_units(units);
                 ticket.finish(units, Completion::Answered);
-                Next::Finish(Outcome::Answered(passed_on(response)))
+                NextStep::Finish(Outcome::Answered(into_caller_response(response)))
             }
             Attempt::Answered(Answer::Stream(response)) => {
                 let endpoint =
                     stream::Engine { id: endpoint, name: declared.name.clone(), address };
                 match stream::relay(self, ticket, endpoint, response).await {
-                    Ok(response) => Next::Finish(Outcome::Answered(response)),
-                    Err(reason) => self.unknown(reason),
+                    Ok(response) => NextStep::Finish(Outcome::Answered(response)),
+                    Err(reason) => self.after_unknown(reason),
                 }
             }
             Attempt::NotSent | Attempt::Refused => {
                 ticket.finish(0, Completion::Failed);
-                Next::Again { free: false, otherwise: refused() }
+                NextStep::Retry { is_free: false, fallback: endpoints_refuse() }
             }
             Attempt::Unknown(reason) => {
                 if reason == UnknownReason::Broken {
-                    self.lost_at(&declared.name, started.elapsed());
+                    self.record_endpoint_loss(&declared.name, started.elapsed());
                 }
                 ticket.finish(0, Completion::Failed);
-                self.unknown(reason)
+                self.after_unknown(reason)
             }
         }
     }
 
-    /// The endpoint ended the connection before the whole answer: it crashed, or the
-    /// connection broke.
-    fn lost_at(&self, endpoint: &str, ran: Duration) {
+    /// Records that the endpoint closed the connection before the answer was complete, because it
+    /// crashed or the connection broke.
+    fn record_endpoint_loss(&self, endpoint: &str, ran: Duration) {
         self.decide("delivery", format!("lost at {endpoint}, fingerprint {}", self.fingerprint));
         self.router.guard.record_loss(start_of(endpoint), &self.fingerprint, ran);
     }
 
-    /// What its caller is told if it crashes endpoints.
-    fn crashes_endpoints(&self) -> Option<Outcome> {
+    /// The outcome if the request is refused because it crashes endpoints.
+    fn crash_refusal(&self) -> Option<Outcome> {
         let has_leader = || self.router.feeds.leader().is_some();
         let retry_ms = self.router.guard.refusal(&self.fingerprint, has_leader)?;
         Some(Outcome::NotRun(NotRunReason::CrashesEndpoints, retry_ms))
     }
 
-    fn unknown(&self, reason: UnknownReason) -> Next {
+    fn after_unknown(&self, reason: UnknownReason) -> NextStep {
         if reason == UnknownReason::Crossed {
             self.router.metrics.crossed.inc();
         }
         let outcome = Outcome::Unknown(reason);
         match self.call.run_once || reason == UnknownReason::TimedOut {
-            true => Next::Finish(outcome),
-            false => Next::Again { free: false, otherwise: outcome },
+            true => NextStep::Finish(outcome),
+            false => NextStep::Retry { is_free: false, fallback: outcome },
         }
     }
 
-    /// Units used by a whole answer.
-    fn units_of(&self, response: &Response<Bytes>, started: Instant) -> u32 {
+    /// Units used by a complete answer: tokens by weight for models, milliseconds for plain
+    /// services.
+    fn units_used(&self, response: &Response<Bytes>, started: Instant) -> u32 {
         if self.service.kind == ServiceKind::Plain {
             return (started.elapsed().as_millis() as u32).max(1);
         }
@@ -332,32 +339,33 @@
         }
     }
 
-    /// Units for tokens of prompt and output.
+    /// Converts numbers of prompt and output tokens to units.
     pub(super) fn token_units(&self, prompt: u32, output: u32) -> u32 {
         let prompt = prompt.saturating_mul(self.service.input_weight);
         prompt.saturating_add(output.saturating_mul(self.service.output_weight))
     }
 
-    /// Counts service received.
-    pub(super) fn count(&self, units: u32) {
+    /// Adds served units to the metrics.
+    pub(super) fn count_units(&self, units: u32) {
         let labels = [self.customer_name.as_str(), self.service.name.as_str()];
         let counter = self.router.metrics.served_units.with_label_values(&labels);
         counter.inc_by(units.into());
     }
 
-    /// Tokens of the prompt, as estimated on entry.
+    /// Estimated number of prompt tokens.
     pub(super) fn prompt_tokens(&self) -> u32 {
         self.prompt_tokens
     }
 }
 
-/// Declared endpoints do not say when they started.
+/// The start of a declared endpoint. Declared endpoints do not report when they started, so all
+/// starts of an endpoint count as one.
 pub(super) fn start_of(endpoint: &str) -> EndpointStart {
     EndpointStart { id: endpoint.to_string(), started_at_ms: 0 }
 }
 
-/// The endpoint's answer as the caller gets it.
-fn passed_on(response: Response<Bytes>) -> Response<Body> {
+/// Converts an endpoint's answer to the response for the caller.
+fn into_caller_response(response: Response<Bytes>) -> Response<Body> {
     let (mut head, body) = response.into_parts();
     head.headers = crate::delivery::strip_hop_headers(&head.headers);
     Response::from_parts(head, Body::from(body))
--- a/src/router/serve/request.rs
+++ b/src/router/serve/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, and what is checked before it is admitted.
+//! A caller's request, and the checks before it is admitted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use axum::http::{HeaderMap, Method, StatusCode};
 use bytes::Bytes;
 
-use super::{Job, RETRY_MS};
+use super::{Job, RETRY_AFTER_MS};
 use crate::clock::BootInstant;
 use crate::config::{Config, CustomerId, ServiceId};
 use crate::delivery::{Call, NotRunReason, Outcome, header};
@@ -14,29 +14,29 @@
 use crate::router::state::Router;
 use crate::telemetry::RequestId;
 
-/// A caller's request, checked and ready to be admitted.
+/// A caller's request, parsed but not yet checked against the configuration.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The customer's name.
+    /// Name of the customer.
     pub customer: String,
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query at the endpoint.
     pub path: String,
-    /// The caller's headers.
+    /// Headers as sent by the caller.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Tokens of the prompt, estimated; 0 for plain services.
+    /// Estimated number of prompt tokens; 0 for plain services.
     pub prompt_tokens: u32,
-    /// Hashes of ever longer prefixes of the prompt.
+    /// Hashes of prefixes of the prompt, shortest first; empty for plain services.
     pub prefix: Vec<u32>,
 }
 
 impl Router {
-    /// Finds whose request it is and for which service.
+    /// Resolves the customer and service of a request and checks that it may be admitted.
     pub(super) fn prepare(
         self: &Arc<Self>,
         id: RequestId,
@@ -44,18 +44,20 @@
     ) -> Result<Job, Outcome> {
         let config = self.config();
         if config.version == 0 {
-            return Err(Outcome::NotRun(NotRunReason::NoConfiguration, RETRY_MS));
+            return Err(Outcome::NotRun(NotRunReason::NoConfiguration, RETRY_AFTER_MS));
         }
         if self.is_stopping() {
-            return Err(Outcome::NotRun(NotRunReason::Stopping, RETRY_MS));
+            return Err(Outcome::NotRun(NotRunReason::Stopping, RETRY_AFTER_MS));
         }
-        let (customer, service_id) = find(&config, &request)?;
+        let (customer, service_id) = resolve(&config, &request)?;
         let service = config.services[&service_id].clone();
-        let asked = header::text(&request.headers, header::DEADLINE);
-        let deadline_ms = match asked.map(str::parse::<u32>) {
+        let requested_deadline = header::text(&request.headers, header::DEADLINE);
+        let deadline_ms = match requested_deadline.map(str::parse::<u32>) {
             None => service.deadline_ms,
             Some(Ok(ms)) if ms > 0 => ms.min(service.deadline_ms),
-            Some(_) => return Err(bad(format!("{} is not a number above 0", header::DEADLINE))),
+            Some(_) => {
+                return Err(bad_request(format!("{} is not a number above 0", header::DEADLINE)));
+            }
         };
         let run_once = service.runs_once(request.method.as_str(), &request.path);
         let path = [request.service.as_str(), request.path.as_str()];
@@ -81,17 +83,17 @@
             deadline: BootInstant::now() + Duration::from_millis(deadline_ms.into()),
             prompt_tokens: request.prompt_tokens,
             prefix: request.prefix,
-            wants: 0,
-            want_seq: id.seq,
+            grant_requests: 0,
+            grant_seq: id.seq,
         })
     }
 }
 
-fn bad(message: String) -> Outcome {
+fn bad_request(message: String) -> Outcome {
     Outcome::BadRequest(StatusCode::BAD_REQUEST, message)
 }
 
-fn find(config: &Config, request: &Request) -> Result<(CustomerId, ServiceId), Outcome> {
+fn resolve(config: &Config, request: &Request) -> Result<(CustomerId, ServiceId), Outcome> {
     let Some(customer) = config.customer_id(&request.customer) else {
         let message = format!("unknown customer '{}'", request.customer);
         return Err(Outcome::BadRequest(StatusCode::FORBIDDEN, message));
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a router share.
+//! State shared by the parts of a router.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 
 use super::dispatchers::Dispatchers;
 use super::link::Link;
-use super::notices::Heard;
+use super::notices::EndpointNotices;
 
 use crate::admission::Admission;
 use crate::claim::Claims;
@@ -26,42 +26,42 @@
 use crate::telemetry::{Metrics, RequestId, Trace};
 use crate::wire::Role;
 
-/// Endpoints that take no new work.
-pub type Leaving = Arc<BTreeSet<EndpointId>>;
+/// Endpoints that accept no new requests.
+pub type LeavingEndpoints = Arc<BTreeSet<EndpointId>>;
 
-/// How often counters kept elsewhere are copied into the metrics.
+/// Interval at which counters kept elsewhere are copied to the metrics.
 const METRICS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A router and all that its parts share.
+/// A router: its settings and the state that its parts share.
 #[derive(Debug)]
 pub struct Router {
-    /// Its settings.
+    /// Settings of this router.
     pub settings: RouterSettings,
-    /// The other hosts.
+    /// Connections to the other hosts, and the view of them.
     pub peers: Arc<Peers>,
-    /// The configuration in force.
+    /// The configuration in force and its history.
     pub configs: Arc<Configs>,
-    /// The dispatchers that run here.
+    /// Dispatchers that run on this host.
     pub dispatchers: Dispatchers,
-    /// Recent decisions.
+    /// Recent decisions, for `explain`.
     pub trace: Arc<Trace>,
-    /// Counters.
+    /// Metrics of this router.
     pub metrics: Metrics,
-    /// Calls endpoints.
+    /// HTTP client for calls to endpoints.
     pub endpoint_client: EndpointClient,
-    /// Which requests crash endpoints.
+    /// Refuses requests that crash endpoints.
     pub guard: Arc<CrashGuard>,
-    /// What control hosts tell.
+    /// Subscriptions to the feeds of control hosts.
     pub feeds: Arc<Subscriptions>,
-    /// Claims of calls that may not be repeated.
+    /// Client for claims of run-once calls.
     pub claims: Claims,
-    /// Begins a planned stop.
+    /// Cancelled to begin a planned stop.
     pub stop: CancellationToken,
-    /// What endpoints said of themselves in their answers.
-    pub(super) heard: Heard,
-    /// Run-once calls under way; a planned stop waits for them.
-    pub runs: TaskTracker,
-    pub(super) leaving: watch::Sender<Leaving>,
+    /// Notices that endpoints gave in their answers.
+    pub(super) notices: EndpointNotices,
+    /// Run-once calls in progress; a planned stop waits for them.
+    pub run_once_calls: TaskTracker,
+    pub(super) leaving: watch::Sender<LeavingEndpoints>,
     pub(super) reach: watch::Sender<HallSet>,
     pub(super) admission: Mutex<Admission>,
     budgets: Mutex<HashMap<CustomerId, RetryBudget>>,
@@ -71,14 +71,14 @@
 }
 
 impl Router {
-    /// A router among `peers`.
+    /// Creates a router; `stop` is cancelled to begin a planned stop.
     pub fn new(
         settings: RouterSettings,
         peers: Arc<Peers>,
         stop: CancellationToken,
     ) -> Arc<Router> {
         let configs = Arc::new(Configs::default());
-        let leaving = watch::Sender::new(Leaving::default());
+        let leaving = watch::Sender::new(LeavingEndpoints::default());
         let trace = Arc::new(Trace::default());
         let divisor = match settings.dispatch {
             DispatchMode::Fleet => 1,
@@ -108,8 +108,8 @@
             trace,
             metrics: Metrics::default(),
             endpoint_client: EndpointClient::default(),
-            heard: Heard::default(),
-            runs: TaskTracker::new(),
+            notices: EndpointNotices::default(),
+            run_once_calls: TaskTracker::new(),
             leaving,
             reach: watch::Sender::new(HallSet::ALL),
             admission: Mutex::default(),
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Starts what runs beside requests.
+    /// Starts the background tasks.
     pub(super) fn start_tasks(self: &Arc<Self>) {
         tokio::spawn(spread::follow(self.configs.clone(), self.peers.clone()));
         tokio::spawn(follow_platform(self.clone()));
@@ -134,7 +134,7 @@
         self.configs.current()
     }
 
-    /// A number for a new request.
+    /// Returns the id for a new request.
     pub(super) fn next_id(&self) -> RequestId {
         RequestId {
             router: self.peers.me,
@@ -143,20 +143,21 @@
         }
     }
 
-    /// The link to the dispatcher of `service`.
+    /// Returns the link to the dispatcher of `service`, starting it if necessary.
     pub(super) fn link(self: &Arc<Self>, service: ServiceId) -> Link {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry(service).or_insert_with(|| Link::start(self, service));
         link.clone()
     }
 
-    /// Whether an endpoint takes no new work, as far as this router knows.
+    /// Whether an endpoint accepts no new requests, according to the configuration, the platform or
+    /// its own notice. An undeclared endpoint counts as leaving.
     pub(super) fn is_leaving(&self, endpoint: EndpointId) -> bool {
         let declared = self.config().endpoints.get(&endpoint).is_none_or(|e| e.leaving);
-        declared || self.leaving.borrow().contains(&endpoint) || self.heard.is_leaving(endpoint)
+        declared || self.leaving.borrow().contains(&endpoint) || self.notices.is_leaving(endpoint)
     }
 
-    /// Works on a customer's retry budget.
+    /// Calls `f` with a customer's retry budget.
     pub(super) fn with_budget<T>(
         &self,
         id: CustomerId,
@@ -166,8 +167,8 @@
         f(budgets.entry(id).or_default())
     }
 
-    /// Whether a newer configuration may have been accepted out of reach: too
-    /// few control hosts are live for a majority.
+    /// Whether a newer configuration may have been accepted out of reach: the live control hosts
+    /// do not outnumber the suspected ones, so they may be no majority.
     pub fn is_stale(&self) -> bool {
         let view = self.peers.view();
         let live = view.with_role(Role::Control).count();
@@ -180,17 +181,17 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop: no new requests, and dispatch moves elsewhere.
+    /// Begins a planned stop: new requests are refused, and dispatchers move to other hosts.
     pub fn begin_stop(&self) {
         log::info!("router: planned stop begins");
         self.stopping.store(true, Ordering::Relaxed);
         self.peers.set_draining();
     }
 
-    /// Waits for run-once calls whose callers have left.
-    pub(super) async fn finish_runs(&self) {
-        self.runs.close();
-        self.runs.wait().await;
+    /// Waits for run-once calls in progress, including those whose callers have disconnected.
+    pub(super) async fn finish_run_once_calls(&self) {
+        self.run_once_calls.close();
+        self.run_once_calls.wait().await;
     }
 }
 
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -1,7 +1,7 @@
-//! A model's stream, relayed event by event.
+//! Relays a model's stream event by event.
 //!
-//! A stream that breaks is resumed where the engine can; otherwise the caller
-//! gets an explicit error event. A cut stream is never passed off as whole.
+//! A stream that ends early is resumed if the engine supports it; otherwise the caller gets an
+//! explicit error event. A truncated stream is never presented as complete.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,30 +25,32 @@
 use crate::telemetry::RequestId;
 use crate::wire::Completion;
 
-/// Silence after which a stream counts as broken.
-const STALL: Duration = Duration::from_secs(30);
-/// Times that one stream is resumed.
+/// Time without data after which a stream counts as broken.
+const STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of times that one stream is resumed.
 const MAX_RESUMES: u32 = 3;
 
-/// What came next of a stream.
-enum Item {
+/// The next item of a stream.
+enum StreamItem {
     Event(Event),
+    /// The event that ends the stream.
     Done(Event),
-    /// The engine ended the connection.
+    /// The engine closed the connection.
     Lost,
-    /// It fell silent, or says what cannot be read.
+    /// The engine stalled or sent an invalid event.
     Broken,
+    /// The event belongs to another request.
     Crossed,
 }
 
-/// The engine that a stream comes from.
+/// The engine that sends a stream.
 pub(super) struct Engine {
     pub id: EndpointId,
     pub name: String,
     pub address: SocketAddr,
 }
 
-/// A stream under way.
+/// A stream in progress.
 struct Relay {
     router: Arc<Router>,
     id: RequestId,
@@ -56,16 +58,19 @@
     fingerprint: Fingerprint,
     service: ServiceId,
     engine: Engine,
-    began: Instant,
+    started_at: Instant,
     body: Incoming,
     splitter: Splitter,
     ticket: Option<Ticket>,
+    /// Metric labels: names of the customer and the service.
     labels: [String; 2],
+    /// Units per prompt token and per output token.
     weights: [u32; 2],
-    prompt: u32,
-    output: u32,
+    prompt_tokens: u32,
+    output_tokens: u32,
     resumes: u32,
-    held: Option<Event>,
+    /// The first event, received before the response was returned.
+    pending: Option<Event>,
     ended: bool,
 }
 
@@ -78,7 +83,7 @@
 ) -> Result<Response<Body>, UnknownReason> {
     let (mut head, body) = response.into_parts();
     head.headers = crate::delivery::strip_hop_headers(&head.headers);
-    // A stream may have been resumed: nobody in between may keep it.
+    // The stream may be resumed on the way, so intermediaries must not cache it.
     head.headers.insert("cache-control", HeaderValue::from_static("no-store"));
     let mut relay = Relay {
         router: job.router.clone(),
@@ -87,34 +92,34 @@
         fingerprint: job.fingerprint.clone(),
         service: job.service_id,
         engine,
-        began: Instant::now(),
+        started_at: Instant::now(),
         body,
         splitter: Splitter::default(),
         ticket: Some(ticket),
         labels: [job.customer_name.clone(), job.service.name.clone()],
         weights: [job.service.input_weight, job.service.output_weight],
-        prompt: job.prompt_tokens(),
-        output: 0,
+        prompt_tokens: job.prompt_tokens(),
+        output_tokens: 0,
         resumes: 0,
-        held: None,
+        pending: None,
         ended: false,
     };
     let first = tokio::time::timeout(job.deadline.remaining(), relay.next_item()).await;
     let event = match first {
-        Ok(Item::Event(event)) => event,
-        Ok(Item::Done(event)) => {
-            relay.finish_whole();
+        Ok(StreamItem::Event(event)) => event,
+        Ok(StreamItem::Done(event)) => {
+            relay.finish_complete();
             event
         }
-        Ok(Item::Lost) => {
-            relay.note_lost();
+        Ok(StreamItem::Lost) => {
+            relay.record_endpoint_loss();
             return Err(relay.fail(UnknownReason::Broken));
         }
-        Ok(Item::Broken) => return Err(relay.fail(UnknownReason::Broken)),
-        Ok(Item::Crossed) => return Err(relay.fail(UnknownReason::Crossed)),
+        Ok(StreamItem::Broken) => return Err(relay.fail(UnknownReason::Broken)),
+        Ok(StreamItem::Crossed) => return Err(relay.fail(UnknownReason::Crossed)),
         Err(_) => return Err(relay.fail(UnknownReason::TimedOut)),
     };
-    relay.held = Some(event);
+    relay.pending = Some(event);
     let events = futures_util::stream::unfold(relay, |mut relay| async move {
         let bytes = relay.next_bytes().await?;
         Some((Ok::<_, std::io::Error>(bytes), relay))
@@ -123,9 +128,9 @@
 }
 
 impl Relay {
-    /// What the caller gets next; none at the end.
+    /// Returns the next bytes for the caller, or `None` at the end.
     async fn next_bytes(&mut self) -> Option<Bytes> {
-        if let Some(event) = self.held.take() {
+        if let Some(event) = self.pending.take() {
             return Some(event.raw);
         }
         loop {
@@ -133,25 +138,25 @@
                 return None;
             }
             match self.next_item().await {
-                Item::Event(event) => return Some(event.raw),
-                Item::Done(event) => {
-                    self.finish_whole();
+                StreamItem::Event(event) => return Some(event.raw),
+                StreamItem::Done(event) => {
+                    self.finish_complete();
                     return Some(event.raw);
                 }
-                Item::Lost => {
+                StreamItem::Lost => {
                     self.router.metrics.cut_streams.inc();
                     if !self.resume().await {
-                        self.note_lost();
+                        self.record_endpoint_loss();
                         return Some(self.give_up("broken"));
                     }
                 }
-                Item::Broken => {
+                StreamItem::Broken => {
                     self.router.metrics.cut_streams.inc();
                     if !self.resume().await {
                         return Some(self.give_up("broken"));
                     }
                 }
-                Item::Crossed => {
+                StreamItem::Crossed => {
                     self.router.metrics.crossed.inc();
                     return Some(self.give_up("crossed"));
                 }
@@ -159,19 +164,19 @@
         }
     }
 
-    async fn next_item(&mut self) -> Item {
+    async fn next_item(&mut self) -> StreamItem {
         loop {
             match self.splitter.next() {
-                Ok(Some(event)) if event.data == DONE => return Item::Done(event),
-                Ok(Some(event)) => return self.take(event),
+                Ok(Some(event)) if event.data == DONE => return StreamItem::Done(event),
+                Ok(Some(event)) => return self.record_event(event),
                 Ok(None) => {}
-                Err(_) => return Item::Broken,
+                Err(_) => return StreamItem::Broken,
             }
-            let frame = tokio::time::timeout(STALL, self.body.frame()).await;
+            let frame = tokio::time::timeout(STALL_TIMEOUT, self.body.frame()).await;
             let frame = match frame {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(_)) | None) => return Item::Lost,
-                Err(_) => return Item::Broken,
+                Ok(Some(Err(_)) | None) => return StreamItem::Lost,
+                Err(_) => return StreamItem::Broken,
             };
             if let Some(data) = frame.data_ref() {
                 self.splitter.push(data);
@@ -179,75 +184,79 @@
         }
     }
 
-    /// Checks whose event it is and counts its tokens.
-    fn take(&mut self, event: Event) -> Item {
+    /// Checks that an event belongs to this request and counts its tokens.
+    fn record_event(&mut self, event: Event) -> StreamItem {
         let chunk = serde_json::from_str::<Chunk>(&event.data).ok();
         let Some(chunk) = chunk else {
-            return Item::Event(event);
+            return StreamItem::Event(event);
         };
-        if chunk.id.is_some_and(|id| id != self.call.id && foreign(&id)) {
-            return Item::Crossed;
+        if chunk.id.is_some_and(|id| id != self.call.id && is_fleet_request_id(&id)) {
+            return StreamItem::Crossed;
         }
         match chunk.usage {
             Some(usage) => {
-                self.prompt = usage.prompt_tokens;
-                self.output = usage.completion_tokens;
+                self.prompt_tokens = usage.prompt_tokens;
+                self.output_tokens = usage.completion_tokens;
             }
-            None => self.output += 1,
+            None => self.output_tokens += 1,
         }
         let units = self.units();
         if let Some(ticket) = &mut self.ticket {
             ticket.progress(units);
         }
-        Item::Event(event)
+        StreamItem::Event(event)
     }
 
     fn units(&self) -> u32 {
-        let prompt = self.prompt.saturating_mul(self.weights[0]);
-        prompt.saturating_add(self.output.saturating_mul(self.weights[1]))
+        let prompt = self.prompt_tokens.saturating_mul(self.weights[0]);
+        prompt.saturating_add(self.output_tokens.saturating_mul(self.weights[1]))
     }
 
-    /// Asks the same engine for the rest.
+    /// Requests the remaining tokens from the same engine; returns whether the stream goes on.
     async fn resume(&mut self) -> bool {
-        let rests = self.router.heard.rest_left(self.router.peers.clock.now(), self.engine.id);
-        if self.resumes >= MAX_RESUMES || self.output == 0 || rests.is_some() {
+        let rest =
+            self.router.notices.remaining_rest(self.router.peers.clock.now(), self.engine.id);
+        if self.resumes >= MAX_RESUMES || self.output_tokens == 0 || rest.is_some() {
             return false;
         }
         self.resumes += 1;
-        self.call.resume_after = Some(self.output);
-        let AttemptReport { attempt, notice } =
-            self.router.endpoint_client.attempt(self.engine.address, &self.call, STALL).await;
-        self.router.take_notice(self.service, self.engine.id, &self.engine.name, &notice);
+        self.call.resume_after = Some(self.output_tokens);
+        let AttemptReport { attempt, notice } = self
+            .router
+            .endpoint_client
+            .attempt(self.engine.address, &self.call, STALL_TIMEOUT)
+            .await;
+        self.router.record_notice(self.service, self.engine.id, &self.engine.name, &notice);
         let Attempt::Answered(Answer::Stream(response)) = attempt else {
             return false;
         };
         self.body = response.into_body();
         self.splitter = Splitter::default();
         self.router.metrics.resumed_streams.inc();
-        let text = format!("resumed after {} tokens", self.output);
+        let text = format!("resumed after {} tokens", self.output_tokens);
         self.router.trace.decide(self.id, "delivery", text);
         true
     }
 
-    /// The event that tells the caller that the stream is not whole.
+    /// Finishes the request and returns the event that reports the truncated stream to the caller.
     fn give_up(&mut self, reason: &'static str) -> Bytes {
         self.finish(Completion::Failed);
-        let text = format!("stream {reason} after {} tokens", self.output);
+        let text = format!("stream {reason} after {} tokens", self.output_tokens);
         self.router.trace.decide(self.id, "delivery", text);
         let error = json!({"error": {"message": "the stream is not whole", "reason": reason},
             header::OUTCOME: "unknown"});
         Bytes::from(format!("event: error\ndata: {error}\n\n"))
     }
 
-    /// The engine is gone, or the connection to it is.
-    fn note_lost(&self) {
+    /// Records that the engine crashed or the connection to it broke.
+    fn record_endpoint_loss(&self) {
         let (engine, fingerprint) = (&self.engine.name, &self.fingerprint);
         let text = format!("lost at {engine}, fingerprint {fingerprint}");
         self.router.trace.decide(self.id, "delivery", text);
-        self.router.guard.record_loss(start_of(engine), fingerprint, self.began.elapsed());
+        self.router.guard.record_loss(start_of(engine), fingerprint, self.started_at.elapsed());
     }
 
-    fn finish_whole(&mut self) {
+    fn finish_complete(&mut self) {
         self.router.guard.record_served(&self.fingerprint);
         self.finish(Completion::Answered);
     }
@@ -261,11 +270,11 @@
         self.ended = true;
         if let Some(ticket) = self.ticket.take() {
             ticket.finish(self.units(), completion);
-            self.count();
+            self.count_units();
         }
     }
 
-    fn count(&self) {
+    fn count_units(&self) {
         let labels = [self.labels[0].as_str(), self.labels[1].as_str()];
         let counter = self.router.metrics.served_units.with_label_values(&labels);
         counter.inc_by(self.units().into());
@@ -274,18 +283,18 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // The caller has left: its ticket gives the slot back, the connection
-        // closes, and the engine cancels.
+        // The caller has disconnected: dropping the ticket releases the slot, and closing the
+        // connection makes the engine cancel.
         if self.ticket.is_some() {
-            self.count();
-            let text = format!("caller left after {} tokens", self.output);
+            self.count_units();
+            let text = format!("caller left after {} tokens", self.output_tokens);
             self.router.trace.decide(self.id, "delivery", text);
         }
     }
 }
 
-/// Whether an id has the form of another request of the fleet; engines that use
-/// numbers of their own are not taken to have crossed answers.
-fn foreign(id: &str) -> bool {
+/// Whether `id` has the form of a request id of this fleet. Ids that an engine generates itself do
+/// not indicate crossed answers.
+fn is_fleet_request_id(id: &str) -> bool {
     id.parse::<RequestId>().is_ok()
 }
