--- a/src/router/serve/request.rs
+++ b/src/router/serve/request.rs
@@ -55,9 +55,7 @@
         let deadline_ms = match requested_deadline.map(str::parse::<u32>) {
             None => service.deadline_ms,
             Some(Ok(ms)) if ms > 0 => ms.min(service.deadline_ms),
-            Some(_) => {
-                return Err(bad_request(format!("{} is not a number above 0", header::DEADLINE)));
-            }
+            Some(_) => return Err(bad(format!("{} is not a number above 0", header::DEADLINE))),
         };
         let run_once = service.runs_once(request.method.as_str(), &request.path);
         let path = [request.service.as_str(), request.path.as_str()];
@@ -89,7 +87,8 @@
     }
 }
 
-fn bad_request(message: String) -> Outcome {
+/// The outcome for a request that is invalid.
+fn bad(message: String) -> Outcome {
     Outcome::BadRequest(StatusCode::BAD_REQUEST, message)
 }
 
