--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -10,11 +10,11 @@
 
 impl Driver {
     pub(super) fn found(&mut self, members: Vec<GroupMember>) -> Result<()> {
-        if self.replica.is_founded() {
+        if self.replica.is_bootstrapped() {
             return Ok(());
         }
         log::info!("control: founds the group with {} stores", members.len());
-        let records = Replica::founding(members);
+        let records = Replica::bootstrap_records(members);
         // The group begins with this job; until it is on disk nothing is promised.
         let job = self.disk.write(records.clone());
         let mut hard = HardState::default();
@@ -30,7 +30,7 @@
         let seed = rand::rng().random();
         let none = Snapshot::default();
         self.replica = Replica::new(now, self.store, hard, none, entries, seed);
-        self.replica.set_most_voters(self.most_voters);
+        self.replica.set_max_voters(self.most_voters);
         let last_entry = self.replica.last_entry();
         self.unsynced.push_back(Unsynced { job, messages: Vec::new(), last_entry });
         Ok(())
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -12,7 +12,7 @@
 use super::handle::NoLeader;
 use super::state::{Command, Reply};
 use crate::agree::{Envelope, StoreId};
-use crate::claim::{Claim, Claimed, Settlement};
+use crate::claim::{Claim, ClaimOutcome, Settlement};
 use crate::clock::epoch_ms;
 use crate::peer::PeerReader;
 use crate::wire::{BatchWriter, HostId, Traffic, keep_alive, write_frame};
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Asked {
     /// The claim was decided, or how it stands.
-    Claimed(Claimed),
+    Claimed(ClaimOutcome),
     /// Nobody holds the key.
     Free,
     /// The settlement is on a majority's disks.
@@ -123,10 +123,10 @@
     let links = control.peers.links.clone();
     tokio::spawn(batch.run(writer, move || {
         let links = links.clone();
-        async move { links.clear_to(router).await }
+        async move { links.wait_until_clear_to(router).await }
     }));
     while let Ok(requests) = reader.next::<Vec<ClaimRequest>>().await {
-        control.peers.links.clear_from(router).await;
+        control.peers.links.wait_until_clear_from(router).await;
         for request in requests {
             let control = control.clone();
             let answers = answers.clone();
@@ -145,7 +145,7 @@
     let ClaimRequest { claim, ask, .. } = request;
     let command = match ask {
         Ask::Look => {
-            let look = control.handle.look(move |state| state.claims().look(&claim)).await;
+            let look = control.handle.look(move |state| state.claims().lookup(&claim)).await;
             return match look {
                 Ok(Some(claimed)) => Asked::Claimed(claimed),
                 Ok(None) => Asked::Free,
--- a/src/feed/tests.rs
+++ b/src/feed/tests.rs
@@ -6,7 +6,7 @@
 
 use super::following::{Following, Reason, Step};
 use super::news::News;
-use super::{Followers, LeaderNews};
+use super::{LeaderNews, Subscribers};
 use crate::member::View;
 use crate::wire::{Heartbeat, HostId, Role};
 
@@ -142,11 +142,11 @@
 #[test]
 fn the_silence_of_feeds_is_told() {
     let mut news = News::default();
-    assert_eq!(news.last_heard_ms(10), None);
+    assert_eq!(news.shortest_silence_ms(10), None);
     news.opened(0, CONTROL);
     news.opened(0, OTHER);
     news.heard(400, CONTROL);
-    assert_eq!(news.last_heard_ms(1_000), Some(600));
+    assert_eq!(news.shortest_silence_ms(1_000), Some(600));
     assert_eq!(news.longest_silence_ms(1_000), Some(1_000));
     news.lost(OTHER);
     assert_eq!(news.longest_silence_ms(1_000), Some(600));
@@ -217,23 +217,26 @@
 
 #[test]
 fn a_feed_counts_as_told_while_it_is_open() {
-    let followers = Arc::new(Followers::default());
-    let (first, second) = (followers.opened(ME), followers.opened(OTHER));
+    let subscribers = Arc::new(Subscribers::default());
+    let (first, second) = (subscribers.opened(ME), subscribers.opened(OTHER));
     first.told(7);
     second.told(5);
-    assert_eq!((followers.count(), followers.count_told(7), followers.count_told(5)), (2, 1, 2));
+    assert_eq!(
+        (subscribers.count(), subscribers.count_sent(7), subscribers.count_sent(5)),
+        (2, 1, 2)
+    );
     drop(first);
-    assert_eq!((followers.count(), followers.count_told(7)), (1, 0));
+    assert_eq!((subscribers.count(), subscribers.count_sent(7)), (1, 0));
 }
 
 #[tokio::test]
 async fn a_subscriber_that_opens_a_feed_anew_ends_the_one_before() {
-    let followers = Arc::new(Followers::default());
-    let dead = followers.opened(ME);
-    let anew = followers.opened(ME);
+    let subscribers = Arc::new(Subscribers::default());
+    let dead = subscribers.opened(ME);
+    let anew = subscribers.opened(ME);
     dead.superseded().await;
     anew.told(7);
     dead.told(3);
     drop(dead);
-    assert_eq!((followers.count(), followers.count_told(7)), (1, 1));
+    assert_eq!((subscribers.count(), subscribers.count_sent(7)), (1, 1));
 }
--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use super::super::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Table};
+use super::super::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, MemberTable};
 use crate::dispatch::Millis;
 use crate::settings::HeartbeatScope;
 use crate::wire::{Beat, Heartbeat, HostId, Role};
@@ -16,7 +16,7 @@
 
 /// A process that runs.
 struct Process {
-    table: Table,
+    table: MemberTable,
     next_beat: Millis,
     pause: Millis,
 }
@@ -89,7 +89,7 @@
             also: None,
         };
         let seeds = self.control_numbers().map(address).collect();
-        let table = Table::new(me, seeds, HeartbeatScope::Control);
+        let table = MemberTable::new(me, seeds, HeartbeatScope::Control);
         let process = Process { table, next_beat: self.now, pause: FIRST_HEARTBEAT_MS };
         self.processes.insert(host, process);
     }
@@ -113,7 +113,7 @@
         while let Some(datagram) = self.in_flight.pop_front_if(|d| d.arrives <= self.now) {
             let to = u32::from(datagram.to.port()) - 7_000;
             let Some(process) = self.processes.get_mut(&to) else { continue };
-            let answer = process.table.heard(self.now, datagram.from, datagram.beat);
+            let answer = process.table.on_heartbeat(self.now, datagram.from, datagram.beat);
             if let Some((answer_to, beat)) = answer {
                 self.send(address(to), answer_to, beat);
             }
@@ -129,7 +129,7 @@
                 continue;
             }
             process.table.tick(now);
-            let (beat, targets) = process.table.beat();
+            let (beat, targets) = process.table.next_heartbeat();
             let alone = process.table.is_alone();
             process.next_beat = now + process.pause;
             process.pause =
@@ -155,7 +155,7 @@
     /// Whether `host` takes the present process of `other` for live.
     pub fn knows(&self, host: u32, other: u32) -> bool {
         let view = self.processes[&host].table.view(self.now);
-        let Beat::Whole(present) = self.processes[&other].table.introduction() else {
+        let Beat::Full(present) = self.processes[&other].table.full_heartbeat() else {
             panic!("an introduction says the whole");
         };
         view.get(HostId(other)).is_some_and(|m| m.incarnation == present.incarnation)
--- a/src/router.rs
+++ b/src/router.rs
@@ -130,11 +130,11 @@
             Open::Dispatch { router: from, service, session } => {
                 router.dispatchers.attach(from, service, session, reader, writer);
             }
-            Open::Pull { have, .. } => {
+            Open::Pull { held_version, .. } => {
                 tokio::spawn(spread::answer_pull(
                     router.configs.clone(),
                     router.peers.sent.clone(),
-                    have,
+                    held_version,
                     writer,
                 ));
             }
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -14,7 +14,7 @@
 use crate::peer::{PeerReader, Peers};
 use crate::spread::Configs;
 use crate::telemetry::{RequestId, Trace};
-use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, Patient, ToDispatcher};
+use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, QueuedMessage, ToDispatcher};
 
 /// Interval at which a dispatcher checks deadlines and orphaned grants.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -76,11 +76,11 @@
         let peers = self.peers.clone();
         let sent = (router != peers.me).then(|| peers.sent.clone());
         let (out, batch) = BatchWriter::new(sent);
-        let batch = batch.keeping_alive();
+        let batch = batch.with_keep_alives();
         let links = peers.links.clone();
         tokio::spawn(batch.run(writer, move || {
             let links = links.clone();
-            async move { links.clear_to(router).await }
+            async move { links.wait_until_clear_to(router).await }
         }));
         let closed = CancellationToken::new();
         let _close = closed.clone().drop_guard();
@@ -148,7 +148,7 @@
             // The dispatcher closed the session.
             () = closed.cancelled() => break,
         };
-        peers.links.clear_from(router).await;
+        peers.links.wait_until_clear_from(router).await;
         let messages = Event::Messages { router, session: number, messages };
         if events.send(messages).await.is_err() {
             return;
@@ -309,7 +309,7 @@
     fn send(&self, router: HostId, message: FromDispatcher, max_delay: Duration) {
         if let Some(Session { out, .. }) = self.sessions.get(&router) {
             // An error means that the session has just been closed, which its reader notices.
-            let _ = out.send(Patient { message, patience: max_delay });
+            let _ = out.send(QueuedMessage { message, max_delay });
         }
     }
 }
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -19,7 +19,7 @@
 use crate::settings::DispatchMode;
 use crate::wire::{
     BatchSender, BatchWriter, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Open,
-    Patient, RefuseReason, ToDispatcher,
+    QueuedMessage, RefuseReason, ToDispatcher,
 };
 
 /// Interval at which a link without a dispatcher tries to connect to one.
@@ -240,7 +240,7 @@
             Event::Connected(connection) => self.on_connected(connection),
             Event::ConnectFailed { host } => {
                 self.connecting = None;
-                self.peers.avoid(host);
+                self.peers.record_connect_failure(host);
             }
             Event::Disconnected { session } => self.on_disconnected(session),
             Event::Messages { session, messages } => {
@@ -346,7 +346,7 @@
         if let (Some(message), Some((connection, _))) = (message, &self.connection) {
             // An error means that the connection is closed, which its reader notices.
             let max_delay = self.max_delay(&message);
-            let _ = connection.out.send(Patient { message, patience: max_delay });
+            let _ = connection.out.send(QueuedMessage { message, max_delay });
         }
     }
 }
@@ -360,7 +360,7 @@
 ) {
     let host = target.host;
     let open = Open::Dispatch { router: peers.me, service, session };
-    let connected = match peers.links.is_cut(host) {
+    let connected = match peers.links.is_cut_to(host) {
         true => None,
         false => peers.connect(target.peer, &open).await.ok(),
     };
@@ -374,16 +374,16 @@
     let links = peers.links.clone();
     let write = batch.run(writer, move || {
         let links = links.clone();
-        async move { links.clear_to(host).await }
+        async move { links.wait_until_clear_to(host).await }
     });
     let writing = AbortOnDropHandle::new(tokio::spawn(write));
     let dispatcher = (host, target.incarnation);
     // Requests wait for grants on this session. Without ending it on silence, nothing would show
     // that no grant can arrive.
-    let mut reader = reader.ends_when_silent();
+    let mut reader = reader.with_silence_timeout();
     let _ = events.send(Event::Connected(Connection { session, dispatcher, out }));
     while let Ok(messages) = reader.next::<Vec<FromDispatcher>>().await {
-        peers.links.clear_from(host).await;
+        peers.links.wait_until_clear_from(host).await;
         let _ = events.send(Event::Messages { session, messages });
     }
     drop(writing);
--- a/src/router/run_once.rs
+++ b/src/router/run_once.rs
@@ -8,7 +8,8 @@
 use super::serve::Job;
 use super::state::Router;
 use crate::claim::{
-    Attempt as Claimant, Claim, Claimed, MAX_KEPT_ANSWER, RecordedAnswer, Settlement, fingerprint,
+    Attempt as Claimant, Claim, ClaimOutcome, MAX_RECORDED_ANSWER_BYTES, RecordedAnswer,
+    Settlement, fingerprint,
 };
 use crate::delivery::{Answer, Attempt, NotRunReason, Outcome, UnknownReason, header};
 
@@ -46,7 +47,7 @@
     if job.router.is_stale() {
         return Some(Outcome::NotRun(NotRunReason::NoMajority, RETRY_AFTER_MS));
     }
-    let claimed = job.router.claims.look(claim, LOOKUP_TIMEOUT).await?;
+    let claimed = job.router.claims.lookup(claim, LOOKUP_TIMEOUT).await?;
     held_outcome(&job.router, claimed)
 }
 
@@ -72,18 +73,18 @@
 
 /// Returns the outcome for a call whose key is held by another call, or `None` if the claim was
 /// granted.
-fn held_outcome(router: &Router, claimed: Claimed) -> Option<Outcome> {
+fn held_outcome(router: &Router, claimed: ClaimOutcome) -> Option<Outcome> {
     match claimed {
-        Claimed::Granted => None,
-        Claimed::Running(holder) => Some(match is_holder_live(router, holder) {
+        ClaimOutcome::Granted => None,
+        ClaimOutcome::Running(holder) => Some(match is_holder_live(router, holder) {
             true => Outcome::Running(RETRY_AFTER_MS),
             // The holder is gone without having settled its claim: the call may have run.
             false => Outcome::Unknown(UnknownReason::Earlier),
         }),
-        Claimed::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
-        Claimed::Answered(None) => Some(Outcome::AnsweredBefore),
-        Claimed::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
-        Claimed::OtherCall => Some(Outcome::BadRequest(
+        ClaimOutcome::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
+        ClaimOutcome::Answered(None) => Some(Outcome::AnsweredBefore),
+        ClaimOutcome::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
+        ClaimOutcome::OtherCall => Some(Outcome::BadRequest(
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("the {} was used for another call", header::KEY),
         )),
@@ -114,7 +115,7 @@
     let settlement = match attempt {
         Attempt::Answered(Answer::Complete(response)) => {
             let body = response.body();
-            let is_recordable = body.len() <= MAX_KEPT_ANSWER;
+            let is_recordable = body.len() <= MAX_RECORDED_ANSWER_BYTES;
             Settlement::Answered(is_recordable.then(|| RecordedAnswer {
                 status: response.status().as_u16(),
                 content_type: header::text(response.headers(), "content-type").map(String::from),
@@ -125,5 +126,5 @@
         Attempt::NotSent | Attempt::Refused => Settlement::NotRun,
         Attempt::Unknown(_) => Settlement::Unknown,
     };
-    router.claims.settled(claim, settlement, SETTLE_TIMEOUT).await;
+    router.claims.settle_and_wait(claim, settlement, SETTLE_TIMEOUT).await;
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -14,10 +14,10 @@
 use super::notices::EndpointNotices;
 
 use crate::admission::Admission;
-use crate::claim::Claims;
+use crate::claim::ClaimClient;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
 use crate::delivery::{EndpointClient, HttpClient, RetryBudget};
-use crate::feed::{Followed, Subscriptions};
+use crate::feed::{FleetState, Subscriptions};
 use crate::host_list;
 use crate::peer::Peers;
 use crate::quarantine::{CrashGuard, report_crashes};
@@ -54,7 +54,7 @@
     /// Subscriptions to the feeds of control hosts.
     pub feeds: Arc<Subscriptions>,
     /// Client for claims of run-once calls.
-    pub claims: Claims,
+    pub claims: ClaimClient,
     /// Cancelled to begin a planned stop.
     pub stop: CancellationToken,
     /// Notices that endpoints gave in their answers.
@@ -91,11 +91,12 @@
             trace.clone(),
             divisor,
         );
-        let claims = Claims::start(peers.clone());
-        let followed = Followed::default();
-        let guard = Arc::new(CrashGuard::new(followed.quarantine.clone(), peers.me, peers.clock));
+        let claims = ClaimClient::start(peers.clone());
+        let fleet_state = FleetState::default();
+        let guard =
+            Arc::new(CrashGuard::new(fleet_state.quarantine.clone(), peers.me, peers.clock));
         let hall = settings.host.hall.clone();
-        let feeds = Subscriptions::start(peers.clone(), followed, &hall, Role::Router);
+        let feeds = Subscriptions::start(peers.clone(), fleet_state, &hall, Role::Router);
         Arc::new(Router {
             claims,
             guard,
