--- a/bench/variants.py
+++ b/bench/variants.py
@@ -91,7 +91,7 @@
      "if echoed.is_some_and(|id| id != call.id) {", "if false {",
      scenario("crossed answers are dropped"), {}),
     ("broken streams are not resumed", "src/router/stream.rs",
-     "if self.resumes >= MAX_RESUMES || self.output_tokens == 0 {", "if true {",
+     "if self.resumes >= MAX_RESUMES || self.output_tokens == 0 || rest.is_some() {", "if true {",
      scenario("a stream that breaks is resumed"), {}),
     ("leaving endpoints are used on", "src/dispatch/capacity.rs",
      "state.leaving = endpoint.leaving || leaving.contains(id);", "state.leaving = false;",
--- a/src/router/link.rs
+++ b/src/router/link.rs
@@ -310,7 +310,8 @@
     }
 
     fn deliver(&mut self, seq: u64, reply: GrantReply) {
-        let is_received = self.replies.remove(&seq).is_some_and(|v| v.send(reply).is_ok());
+        let is_received =
+            self.replies.remove(&seq).is_some_and(|sender| sender.send(reply).is_ok());
         if !is_received {
             self.granted_at.remove(&seq);
             let message = self.client.finish(seq, 0, Completion::Unused);
