--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The member table, a state machine without I/O.
+//! The member table: a state machine without I/O that follows other hosts' heartbeats.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,59 +12,61 @@
 
 /// Milliseconds between two heartbeats.
 pub const HEARTBEAT_MS: Millis = 500;
-/// The same at first, while no other host has been heard; doubled each time.
+/// Milliseconds between the first two heartbeats after a start; the interval doubles each
+/// time, up to [`HEARTBEAT_MS`], until another host is heard.
 pub const FIRST_HEARTBEAT_MS: Millis = 50;
 /// Milliseconds of silence after which a host is suspected.
-pub const SUSPECT_MS: Millis = 1_600;
-/// Milliseconds for which a host that refused a connection is avoided.
+pub const SUSPECT_AFTER_MS: Millis = 1_600;
+/// Milliseconds for which a host is avoided after a connection to it failed.
 const AVOID_MS: Millis = 2_000;
-/// So many first heartbeats say the whole: some may be lost, or taken for late.
-const WHOLE_FIRST: usize = 6;
-/// One heartbeat in so many says the whole.
-const WHOLE_EVERY: usize = 10;
-/// Milliseconds of silence after which a host is forgotten.
-const FORGET_MS: Millis = 600_000;
+/// Number of heartbeats after a start that are all full: some may be lost, or be ignored
+/// as late ones of an earlier incarnation.
+const INITIAL_FULL_HEARTBEATS: usize = 6;
+/// One of this many heartbeats is full.
+const FULL_HEARTBEAT_PERIOD: usize = 10;
+/// Milliseconds of silence after which a host is removed from the table.
+const FORGET_AFTER_MS: Millis = 600_000;
 
-/// What is known of another host.
+/// The recorded state of another host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What it last said of itself.
+    /// Its last full heartbeat, updated from brief ones.
     pub beat: Heartbeat,
-    /// When that was heard.
-    pub heard: Millis,
-    /// Until when it is avoided after a failed connection.
+    /// When its last heartbeat arrived, in milliseconds.
+    pub last_heard: Millis,
+    /// Until when it is avoided after a failed connection, in milliseconds.
     pub avoid_until: Millis,
 }
 
 /// The hosts that are live at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// What each says of itself, this host included.
+    /// The live hosts' heartbeats, by host number, with this host's own.
     pub live: Vec<Heartbeat>,
-    /// Hosts heard before that are now suspected.
+    /// Hosts that have been silent for too long or are avoided.
     pub suspected: Vec<Heartbeat>,
 }
 
 impl View {
-    /// The router that dispatches `service`: the highest by rendezvous hash
-    /// among live routers that are not in a planned stop.
+    /// The router that dispatches `service`: the one with the highest rendezvous hash
+    /// among the live routers that are not in a planned stop.
     pub fn dispatcher(&self, service: ServiceId) -> Option<&Heartbeat> {
-        let able = |m: &&Heartbeat| m.role == Role::Router && !m.draining;
+        let can_dispatch = |m: &&Heartbeat| m.role == Role::Router && !m.draining;
         let rank = |m: &&Heartbeat| (rendezvous(service, m.host), m.host);
-        self.live.iter().filter(able).max_by_key(rank)
+        self.live.iter().filter(can_dispatch).max_by_key(rank)
     }
 
-    /// A live member by number.
+    /// The live member with this number.
     pub fn get(&self, host: HostId) -> Option<&Heartbeat> {
         self.live.iter().find(|m| m.host == host)
     }
 
-    /// A member, live or suspected.
+    /// The member with this number, live or suspected.
     pub fn known(&self, host: HostId) -> Option<&Heartbeat> {
         self.get(host).or_else(|| self.suspected.iter().find(|m| m.host == host))
     }
 
-    /// Live members with a role.
+    /// The live members with this role.
     pub fn with_role(&self, role: Role) -> impl Iterator<Item = &Heartbeat> {
         self.live.iter().filter(move |m| m.role == role)
     }
@@ -77,27 +79,27 @@
     xxh3_64(&key)
 }
 
-/// All hosts heard of.
+/// This host and all others whose heartbeats have arrived.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     me: Heartbeat,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostId, Member>,
-    turn: usize,
-    greet: bool,
+    sent_count: usize,
+    full_heartbeat_due: bool,
     unknown_heartbeats: u64,
     scope: HeartbeatScope,
 }
 
 impl MemberTable {
-    /// A table that knows only this host and where to look for others.
+    /// A table without other hosts; heartbeats go to the seeds at first.
     pub fn new(me: Heartbeat, seeds: Vec<SocketAddr>, scope: HeartbeatScope) -> MemberTable {
         MemberTable {
             me,
             seeds,
             members: BTreeMap::new(),
-            turn: 0,
-            greet: true,
+            sent_count: 0,
+            full_heartbeat_due: true,
             unknown_heartbeats: 0,
             scope,
         }
@@ -108,20 +110,20 @@
         self.me.host
     }
 
-    /// This host has another configuration in force.
+    /// Sets the version of the configuration in force on this host.
     pub fn set_version(&mut self, version: u64) {
         self.me.version = version;
     }
 
-    /// This host is in a planned stop.
+    /// Marks this host as being in a planned stop.
     pub fn set_draining(&mut self) {
         self.me.draining = true;
     }
 
-    /// A heartbeat arrived from an address. Those of earlier incarnations are ignored.
-    /// Returns what to answer at once, and where: this host introduces itself to
-    /// whoever has just started or does not know it, and asks for the whole where a
-    /// brief one says nothing.
+    /// Records a heartbeat that arrived from an address; those of earlier incarnations are
+    /// ignored. Returns the answer to send at once, and its address: a full heartbeat to a
+    /// host that has just started or asks for one, and a request for a full heartbeat if a
+    /// brief one comes from an incarnation that is not in the table.
     pub fn on_heartbeat(
         &mut self,
         now: Millis,
@@ -130,8 +132,8 @@
     ) -> Option<(SocketAddr, Beat)> {
         match beat {
             Beat::Whole(beat) => {
-                let newcomer = self.on_full_heartbeat(now, beat)?;
-                Some((newcomer, self.full_heartbeat()))
+                let answer_to = self.on_full_heartbeat(now, beat)?;
+                Some((answer_to, self.full_heartbeat()))
             }
             Beat::Brief { host, incarnation, version, draining } => {
                 let known = self.members.get_mut(&host);
@@ -141,7 +143,7 @@
                 };
                 member.beat.version = version;
                 member.beat.draining = draining;
-                member.heard = now;
+                member.last_heard = now;
                 None
             }
             Beat::Ask(beat) => {
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Returns the address of a host that has just started, if this one exchanges
-    /// heartbeats with it.
+    /// Records a full heartbeat. Returns the sender's address if it has just started and
+    /// this host exchanges heartbeats with it.
     fn on_full_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> Option<SocketAddr> {
         if beat.host == self.me.host {
             return None;
@@ -162,10 +164,11 @@
             self.add_seed(address);
         }
         let known = self.members.get(&beat.host);
-        // Clocks are set back at times: an earlier incarnation is late while the
-        // later one is heard, and a restart once that has fallen silent.
-        let is_late =
-            |m: &Member| m.beat.incarnation > beat.incarnation && now < m.heard + SUSPECT_MS;
+        // An incarnation is the clock at the start, and clocks may be set back. A lower one is
+        // a late heartbeat while the higher one is heard, and a restart once that is silent.
+        let is_late = |m: &Member| {
+            m.beat.incarnation > beat.incarnation && now < m.last_heard + SUSPECT_AFTER_MS
+        };
         if known.is_some_and(is_late) {
             return None;
         }
@@ -174,26 +177,26 @@
             Some(member) if !restarted => member.avoid_until,
             _ => 0,
         };
-        // A newcomer must learn of this host too.
-        self.greet |= restarted;
-        let newcomer = (restarted && self.exchanges_with(beat.role)).then_some(beat.peer);
+        // A host that has just started needs a full heartbeat of this one.
+        self.full_heartbeat_due |= restarted;
+        let answer_to = (restarted && self.exchanges_with(beat.role)).then_some(beat.peer);
         let host = beat.host;
-        let member = Member { beat, heard: now, avoid_until };
+        let member = Member { beat, last_heard: now, avoid_until };
         self.members.insert(host, member);
-        newcomer
+        answer_to
     }
 
-    /// Brief heartbeats of hosts that have not said the whole, since the start.
+    /// The number of brief heartbeats since the start from incarnations without a full one.
     pub fn unknown_heartbeats(&self) -> u64 {
         self.unknown_heartbeats
     }
 
-    /// What introduces this host to a newcomer.
+    /// This host's full heartbeat.
     pub fn full_heartbeat(&self) -> Beat {
         Beat::Whole(self.me.clone())
     }
 
-    /// Whether no other host has been heard yet.
+    /// Whether the table holds no other host.
     pub fn is_alone(&self) -> bool {
         self.members.is_empty()
     }
@@ -205,33 +208,37 @@
         }
     }
 
-    /// A connection to a host failed: it is avoided for a while.
+    /// Treats a host as suspected for [`AVOID_MS`], after a connection to it failed.
     pub fn avoid(&mut self, now: Millis, host: HostId) {
         if let Some(member) = self.members.get_mut(&host) {
             member.avoid_until = now + AVOID_MS;
         }
     }
 
-    /// Forgets hosts not heard of for long.
+    /// Removes hosts that have been silent for [`FORGET_AFTER_MS`].
     pub fn tick(&mut self, now: Millis) {
-        self.members.retain(|_, m| m.heard + FORGET_MS > now);
+        self.members.retain(|_, m| m.last_heard + FORGET_AFTER_MS > now);
     }
 
-    /// What to send now, and to whom.
+    /// The heartbeat to send now, and the addresses of its receivers.
     pub fn next_heartbeat(&mut self) -> (Beat, Vec<SocketAddr>) {
-        let hears = |m: &&Member| self.exchanges_with(m.beat.role);
-        let others = self.members.values().filter(hears);
+        let is_target = |m: &&Member| self.exchanges_with(m.beat.role);
+        let others = self.members.values().filter(is_target);
         let mut targets: Vec<_> = others.map(|m| m.beat.peer).collect();
-        let told = |m: &&Member| self.scope == HeartbeatScope::All || m.beat.role == Role::Control;
-        let spread: Vec<_> = self.members.values().filter(told).map(|m| m.beat.peer).collect();
-        let unknown = self.seeds.iter().filter(|s| **s != self.me.peer && !targets.contains(s));
-        let unknown: Vec<_> = unknown.copied().collect();
-        let also = spread.get(self.turn % spread.len().max(1)).copied();
-        self.turn += 1;
-        targets.extend(unknown);
-        let greets = std::mem::take(&mut self.greet);
-        let whole = greets || self.turn <= WHOLE_FIRST || self.turn % WHOLE_EVERY == 1;
-        let beat = match whole {
+        let is_announced =
+            |m: &&Member| self.scope == HeartbeatScope::All || m.beat.role == Role::Control;
+        let announced: Vec<_> =
+            self.members.values().filter(is_announced).map(|m| m.beat.peer).collect();
+        let seeds_only = self.seeds.iter().filter(|s| **s != self.me.peer && !targets.contains(s));
+        let seeds_only: Vec<_> = seeds_only.copied().collect();
+        let also = announced.get(self.sent_count % announced.len().max(1)).copied();
+        self.sent_count += 1;
+        targets.extend(seeds_only);
+        let is_due = std::mem::take(&mut self.full_heartbeat_due);
+        let is_full = is_due
+            || self.sent_count <= INITIAL_FULL_HEARTBEATS
+            || self.sent_count % FULL_HEARTBEAT_PERIOD == 1;
+        let beat = match is_full {
             true => Beat::Whole(Heartbeat { also, ..self.me.clone() }),
             false => Beat::Brief {
                 host: self.me.host,
@@ -244,13 +251,13 @@
     }
 
     fn exchanges_with(&self, role: Role) -> bool {
-        let both_route = self.me.role == Role::Router && role == Role::Router;
-        self.scope == HeartbeatScope::All || !both_route
+        let are_both_routers = self.me.role == Role::Router && role == Role::Router;
+        self.scope == HeartbeatScope::All || !are_both_routers
     }
 
-    /// The hosts that are live now.
+    /// The live and suspected hosts at this time.
     pub fn view(&self, now: Millis) -> View {
-        let is_live = |m: &&Member| now < m.heard + SUSPECT_MS && now >= m.avoid_until;
+        let is_live = |m: &&Member| now < m.last_heard + SUSPECT_AFTER_MS && now >= m.avoid_until;
         let strip = |m: &Member| Heartbeat { also: None, ..m.beat.clone() };
         let mut live: Vec<_> = self.members.values().filter(is_live).map(strip).collect();
         live.push(Heartbeat { also: None, ..self.me.clone() });
--- a/src/member/tests.rs
+++ b/src/member/tests.rs
@@ -10,7 +10,7 @@
 use crate::settings::HeartbeatScope;
 use crate::wire::{Beat, Heartbeat, HostId, Role};
 
-/// Where heartbeats come from, where that does not matter.
+/// The sender's address, in tests that don't depend on it.
 const FROM: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 7_999);
 
 fn beat(host: u32, incarnation: u64) -> Heartbeat {
@@ -31,11 +31,11 @@
 fn a_silent_host_is_suspected_and_comes_back() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 1)));
-    assert_eq!(table.view(SUSPECT_MS - 1).live.len(), 2);
-    let view = table.view(SUSPECT_MS);
+    assert_eq!(table.view(SUSPECT_AFTER_MS - 1).live.len(), 2);
+    let view = table.view(SUSPECT_AFTER_MS);
     assert_eq!((view.live.len(), view.suspected.len()), (1, 1));
-    table.on_heartbeat(SUSPECT_MS, FROM, Beat::Whole(beat(2, 1)));
-    assert_eq!(table.view(SUSPECT_MS).live.len(), 2);
+    table.on_heartbeat(SUSPECT_AFTER_MS, FROM, Beat::Whole(beat(2, 1)));
+    assert_eq!(table.view(SUSPECT_AFTER_MS).live.len(), 2);
 }
 
 #[test]
@@ -47,15 +47,15 @@
 }
 
 #[test]
-fn a_host_that_starts_again_after_its_clock_was_set_back_is_heard() {
+fn a_host_that_restarts_after_its_clock_was_set_back_is_accepted() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 9)));
-    table.on_heartbeat(SUSPECT_MS, FROM, Beat::Whole(beat(2, 8)));
-    assert_eq!(table.view(SUSPECT_MS).get(HostId(2)).unwrap().incarnation, 8);
+    table.on_heartbeat(SUSPECT_AFTER_MS, FROM, Beat::Whole(beat(2, 8)));
+    assert_eq!(table.view(SUSPECT_AFTER_MS).get(HostId(2)).unwrap().incarnation, 8);
 }
 
 #[test]
-fn routers_may_exchange_heartbeats_with_control_hosts_only() {
+fn routers_can_exchange_heartbeats_with_control_hosts_only() {
     let control = |host| Heartbeat { role: Role::Control, ..beat(host, 1) };
     let mut router = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::Control);
     router.on_heartbeat(0, FROM, Beat::Whole(beat(2, 1)));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_host_that_refused_a_connection_is_avoided_though_it_beats() {
+fn a_host_that_refused_a_connection_is_avoided_while_its_heartbeats_arrive() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 1)));
     table.avoid(0, HostId(2));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn newcomers_spread_through_other_members() {
+fn new_hosts_are_announced_by_other_members() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     let also = Some(beat(3, 1).peer);
     table.on_heartbeat(0, FROM, Beat::Whole(Heartbeat { also, ..beat(2, 1) }));
@@ -115,84 +115,87 @@
 }
 
 #[test]
-fn brief_heartbeats_keep_a_known_host_live_and_say_its_version() {
+fn brief_heartbeats_keep_a_known_host_live_and_update_its_version() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 1)));
-    table.on_heartbeat(SUSPECT_MS, FROM, brief(2, 1, 7));
-    assert_eq!(table.view(SUSPECT_MS).get(HostId(2)).unwrap().version, 7);
+    table.on_heartbeat(SUSPECT_AFTER_MS, FROM, brief(2, 1, 7));
+    assert_eq!(table.view(SUSPECT_AFTER_MS).get(HostId(2)).unwrap().version, 7);
 }
 
 #[test]
-fn a_brief_heartbeat_of_a_stranger_or_another_incarnation_is_answered_by_a_question() {
+fn a_brief_heartbeat_of_an_unknown_host_or_incarnation_is_answered_by_a_request() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
-    let question = Some((FROM, Beat::Ask(beat(1, 1))));
-    assert_eq!(table.on_heartbeat(0, FROM, brief(2, 1, 7)), question);
+    let request = Some((FROM, Beat::Ask(beat(1, 1))));
+    assert_eq!(table.on_heartbeat(0, FROM, brief(2, 1, 7)), request);
     assert!(table.view(0).get(HostId(2)).is_none());
     table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 1)));
     assert_eq!(table.on_heartbeat(0, FROM, brief(2, 1, 0)), None);
-    assert_eq!(table.on_heartbeat(0, FROM, brief(2, 2, 7)), question);
+    assert_eq!(table.on_heartbeat(0, FROM, brief(2, 2, 7)), request);
     assert_eq!(table.view(0).get(HostId(2)).unwrap().version, 0);
     assert_eq!(table.unknown_heartbeats(), 2);
 }
 
 #[test]
-fn who_is_not_known_introduces_itself_when_asked() {
+fn a_request_for_a_full_heartbeat_is_answered_by_one() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::Control);
     let control = Heartbeat { role: Role::Control, ..beat(2, 1) };
     for now in [0, 1] {
         let answer = table.on_heartbeat(now, FROM, Beat::Ask(control.clone()));
         assert_eq!(answer, Some((control.peer, table.full_heartbeat())));
     }
-    assert!(table.view(1).get(HostId(2)).is_some(), "who asks has introduced itself");
+    assert!(table.view(1).get(HostId(2)).is_some(), "the request holds a full heartbeat");
 }
 
 #[test]
-fn a_newcomer_is_told_the_whole_at_the_next_heartbeat() {
+fn the_next_heartbeat_after_a_host_started_is_full() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 1)));
     assert!(matches!(table.next_heartbeat().0, Beat::Whole(_)));
     while matches!(table.next_heartbeat().0, Beat::Whole(_)) {}
     table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 2)));
-    assert!(matches!(table.next_heartbeat().0, Beat::Whole(_)), "the host is back empty");
+    assert!(
+        matches!(table.next_heartbeat().0, Beat::Whole(_)),
+        "a restarted host needs a full heartbeat"
+    );
 }
 
 proptest! {
     #![proptest_config(crate::testing::property(128))]
 
-    /// Hosts that see the same members agree on every dispatcher, and the loss
-    /// of a host moves only the services that it dispatched.
+    /// Hosts with the same view agree on every dispatcher, and the loss of a host moves only
+    /// the services that it dispatched.
     #[test]
     fn losing_a_host_moves_only_its_services(count in 2u32..20, lost in 0u32..20) {
         let lost = HostId(lost % count);
         let all = View { live: (0..count).map(|h| beat(h, 1)).collect(), suspected: vec![] };
-        let rest = View {
+        let remaining = View {
             live: all.live.iter().filter(|m| m.host != lost).cloned().collect(),
             suspected: vec![],
         };
         for service in (0..27).map(ServiceId) {
             let before = all.dispatcher(service).unwrap().host;
-            let after = rest.dispatcher(service).unwrap().host;
+            let after = remaining.dispatcher(service).unwrap().host;
             prop_assert!(before == lost || before == after);
         }
     }
 }
 
 #[test]
-fn a_newcomer_is_introduced_to_once_for_each_start() {
+fn a_full_heartbeat_is_answered_once_for_each_start() {
     let mut old = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::All);
     let mut new = MemberTable::new(beat(2, 1), vec![], HeartbeatScope::All);
     assert!(new.is_alone());
-    let answer = |to: Heartbeat, answer: &MemberTable| Some((to.peer, answer.full_heartbeat()));
+    let answer = |to: Heartbeat, from: &MemberTable| Some((to.peer, from.full_heartbeat()));
     assert_eq!(old.on_heartbeat(0, FROM, new.full_heartbeat()), answer(beat(2, 1), &old));
     assert_eq!(new.on_heartbeat(0, FROM, old.full_heartbeat()), answer(beat(1, 1), &new));
     assert!(!new.is_alone());
-    // Each knows the other now, so the exchange ends.
+    // Each table has the other host now, so the exchange ends.
     assert_eq!(old.on_heartbeat(0, FROM, new.full_heartbeat()), None);
     assert_eq!(old.on_heartbeat(1, FROM, Beat::Whole(beat(2, 2))), answer(beat(2, 2), &old));
 }
 
 #[test]
-fn routers_that_exchange_no_heartbeats_do_not_introduce_themselves() {
+fn routers_that_exchange_no_heartbeats_do_not_answer_them() {
     let mut table = MemberTable::new(beat(1, 1), vec![], HeartbeatScope::Control);
     assert_eq!(table.on_heartbeat(0, FROM, Beat::Whole(beat(2, 1))), None);
 }
--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -1,4 +1,4 @@
-//! Hosts that exchange heartbeats in virtual time.
+//! A simulated network of hosts that exchange heartbeats in virtual time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,17 +8,17 @@
 use crate::settings::HeartbeatScope;
 use crate::wire::{Beat, Heartbeat, HostId, Role};
 
-/// One way between any two hosts.
+/// One-way delay between any two hosts, in milliseconds.
 const DELAY_MS: Millis = 1;
 
-/// Of so many datagrams in a row, a link loses one at most.
-pub const LOSES_ONE_OF: u32 = 3;
+/// A link loses at most one of this many datagrams in a row.
+pub const LOSS_WINDOW: u32 = 3;
 
-/// A process that runs.
+/// A running process.
 struct Process {
     table: MemberTable,
-    next_beat: Millis,
-    pause: Millis,
+    next_heartbeat: Millis,
+    interval: Millis,
 }
 
 struct Datagram {
@@ -28,17 +28,17 @@
     beat: Beat,
 }
 
-/// Routers, numbered from 1, and control hosts behind them, the routers' and each
-/// other's seeds.
+/// Routers, numbered from 1, and control hosts, numbered after them. The control hosts are
+/// the seeds of all.
 pub struct Network {
     now: Millis,
     routers: u32,
     controls: u32,
     processes: BTreeMap<u32, Process>,
     in_flight: VecDeque<Datagram>,
-    /// Of the datagrams sent, each `true` is lost; used once each.
+    /// Whether each of the next datagrams sent is lost.
     losses: VecDeque<bool>,
-    /// Datagrams that a link has still to deliver before it may lose another one.
+    /// The number of datagrams that a link must deliver before it may lose another one.
     to_deliver: BTreeMap<(SocketAddr, SocketAddr), u32>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Network {
-    /// A network without processes yet.
+    /// A network without processes.
     pub fn new(routers: u32, controls: u32) -> Network {
         Network {
             now: 0,
@@ -60,9 +60,9 @@
         }
     }
 
-    /// From here on datagrams are lost by this pattern, of each link at most one in
-    /// [`LOSES_ONE_OF`].
-    pub fn lose(&mut self, losses: Vec<bool>) {
+    /// Loses the next datagrams by this pattern, but on each link at most one of
+    /// [`LOSS_WINDOW`].
+    pub fn set_losses(&mut self, losses: Vec<bool>) {
         self.losses = losses.into();
     }
 
@@ -74,7 +74,7 @@
         self.routers + 1..=self.routers + self.controls
     }
 
-    /// Starts a process that remembers nothing.
+    /// Starts a process with an empty member table.
     pub fn start(&mut self, host: u32) {
         let is_control = self.control_numbers().contains(&host);
         let me = Heartbeat {
@@ -90,7 +90,7 @@
         };
         let seeds = self.control_numbers().map(address).collect();
         let table = MemberTable::new(me, seeds, HeartbeatScope::Control);
-        let process = Process { table, next_beat: self.now, pause: FIRST_HEARTBEAT_MS };
+        let process = Process { table, next_heartbeat: self.now, interval: FIRST_HEARTBEAT_MS };
         self.processes.insert(host, process);
     }
 
@@ -99,13 +99,13 @@
         self.processes.remove(&host);
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances time by `ms` milliseconds.
     pub fn run(&mut self, ms: Millis) {
         let until = self.now + ms;
         while self.now < until {
             self.now += 1;
             self.deliver();
-            self.beat();
+            self.send_heartbeats();
         }
     }
 
@@ -120,20 +120,20 @@
         }
     }
 
-    fn beat(&mut self) {
-        let due: Vec<u32> = self.processes.keys().copied().collect();
-        for host in due {
+    fn send_heartbeats(&mut self) {
+        let hosts: Vec<u32> = self.processes.keys().copied().collect();
+        for host in hosts {
             let now = self.now;
             let process = self.processes.get_mut(&host).unwrap();
-            if now < process.next_beat {
+            if now < process.next_heartbeat {
                 continue;
             }
             process.table.tick(now);
             let (beat, targets) = process.table.next_heartbeat();
             let alone = process.table.is_alone();
-            process.next_beat = now + process.pause;
-            process.pause =
-                if alone { (process.pause * 2).min(HEARTBEAT_MS) } else { HEARTBEAT_MS };
+            process.next_heartbeat = now + process.interval;
+            process.interval =
+                if alone { (process.interval * 2).min(HEARTBEAT_MS) } else { HEARTBEAT_MS };
             for to in targets {
                 self.send(address(host), to, beat.clone());
             }
@@ -144,7 +144,7 @@
         let lost = self.losses.pop_front().unwrap_or(false);
         let to_deliver = self.to_deliver.entry((from, to)).or_default();
         if lost && *to_deliver == 0 {
-            *to_deliver = LOSES_ONE_OF - 1;
+            *to_deliver = LOSS_WINDOW - 1;
             return;
         }
         *to_deliver = to_deliver.saturating_sub(1);
@@ -152,18 +152,18 @@
         self.in_flight.push_back(Datagram { arrives, from, to, beat });
     }
 
-    /// Whether `host` takes the present process of `other` for live.
-    pub fn knows(&self, host: u32, other: u32) -> bool {
+    /// Whether `host` has the current incarnation of `other` as live.
+    pub fn sees_live(&self, host: u32, other: u32) -> bool {
         let view = self.processes[&host].table.view(self.now);
-        let Beat::Whole(present) = self.processes[&other].table.full_heartbeat() else {
-            panic!("an introduction says the whole");
+        let Beat::Whole(current) = self.processes[&other].table.full_heartbeat() else {
+            panic!("a full heartbeat has all fields");
         };
-        view.get(HostId(other)).is_some_and(|m| m.incarnation == present.incarnation)
+        view.get(HostId(other)).is_some_and(|m| m.incarnation == current.incarnation)
     }
 
-    /// Pairs of a router and a control host of which one does not know the other.
-    pub fn strangers(&self) -> Vec<(u32, u32)> {
+    /// Pairs of a router and a control host of which one does not have the other as live.
+    pub fn unknown_pairs(&self) -> Vec<(u32, u32)> {
         let pairs = self.router_numbers().flat_map(|r| self.control_numbers().map(move |c| (r, c)));
-        pairs.filter(|(r, c)| !self.knows(*r, *c) || !self.knows(*c, *r)).collect()
+        pairs.filter(|(r, c)| !self.sees_live(*r, *c) || !self.sees_live(*c, *r)).collect()
     }
 }
