--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one endpoint, and the head of its answer.
+//! One attempt: sending a request to one endpoint and receiving the head of its answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,23 +13,23 @@
 use super::connections::{Connection, SendError, Target};
 use super::endpoints::Failure;
 use super::header_names::Forwarding;
-use super::observed::Observed;
+use super::observation::ReleaseObservation;
 use super::request::Call;
-use super::state::Ticket;
+use super::state::Assignment;
 use super::stream;
 use crate::placement::{Completion, Reservation};
 use crate::registry::Registration;
 use crate::routing::RouteKind;
 
-/// Largest answer that is not a stream, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
-/// A repeatable request is given up at one endpoint after so many times its
-/// objective, to be sent to another.
-const PATIENCE: u64 = 3;
-/// The shortest time for which one endpoint is waited for.
-const LEAST_PATIENCE: Duration = Duration::from_millis(300);
+/// Largest answer other than a stream, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// An idempotent request is given up at one endpoint and sent to another after this multiple
+/// of the route's objective.
+const ANSWER_TIMEOUT_OBJECTIVES: u64 = 3;
+/// Shortest time to wait for an answer of one endpoint.
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What came of one attempt.
+/// Result of one attempt.
 pub(super) enum Attempt {
     /// The answer, for the caller.
     Answered(Response<Body>),
@@ -39,13 +39,13 @@
     NotSent,
     /// The endpoint states that it did not run it.
     NotExecuted,
-    /// It may have run; there is no answer that could be passed on.
+    /// It may have run; there is no answer that could be forwarded.
     Unknown,
-    /// It may have run; no answer came in time.
+    /// It may have run; no answer arrived in time.
     TimedOut,
 }
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [header::HeaderName; 8] = [
     header::CONNECTION,
     header::HeaderName::from_static("keep-alive"),
@@ -57,7 +57,7 @@
     header::UPGRADE,
 ];
 
-/// Removes what concerns one connection only, also where `Connection` names it.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub(super) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named = headers.get_all(header::CONNECTION).iter().filter_map(|v| v.to_str().ok());
     let named: Vec<_> = named.flat_map(|text| text.split(',')).map(str::trim).collect();
@@ -68,7 +68,7 @@
     }
 }
 
-/// The request as an endpoint gets it.
+/// Builds the request that is sent to an endpoint.
 pub(super) fn request_for(
     call: &Call,
     endpoint: &Registration,
@@ -86,7 +86,7 @@
         copy_from,
         after_event,
     };
-    call.gateway.header_names.write_call(&mut headers, &forwarding);
+    call.gateway.header_names.write_request(&mut headers, &forwarding);
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.parts.method.clone();
     *request.uri_mut() = origin_form(&call.parts.uri);
@@ -99,76 +99,76 @@
     path.map(Uri::from).unwrap_or_else(|| Uri::from_static("/"))
 }
 
-/// An endpoint's answer under way.
-pub(super) struct Opened {
+/// An endpoint's answer whose head has arrived and whose body is still to be read.
+pub(super) struct PendingAnswer {
     pub response: Response<Incoming>,
     pub connection: Connection,
-    pub ticket: Ticket,
+    pub assignment: Assignment,
 }
 
-/// Sends a request to one endpoint and waits for its answer, or for the head of
+/// Sends a request to one endpoint and waits for its complete answer, or for the head of
 /// its stream.
 pub(super) async fn attempt(
     call: &Arc<Call>,
     endpoint: &Registration,
     reservation: Option<Reservation>,
-    again: bool,
+    is_retry: bool,
 ) -> Attempt {
-    if again {
+    if is_retry {
         call.gateway.metrics.retries.with_label_values(&[&call.service]).inc();
     }
-    match open(call, endpoint, reservation, None).await {
-        Ok(opened) => judge(call, endpoint, opened).await,
+    match begin_attempt(call, endpoint, reservation, None).await {
+        Ok(pending) => complete_attempt(call, endpoint, pending).await,
         Err(attempt) => attempt,
     }
 }
 
-/// Sends a request and waits for the head of an answer that is the endpoint's
-/// own, to this request.
-pub(super) async fn open(
+/// Sends a request and waits for the head of an answer; fails unless the answer is that of
+/// this endpoint to this request.
+pub(super) async fn begin_attempt(
     call: &Arc<Call>,
     endpoint: &Registration,
     reservation: Option<Reservation>,
     after_event: Option<&str>,
-) -> Result<Opened, Attempt> {
+) -> Result<PendingAnswer, Attempt> {
     let Some(address) = endpoint.address else { return Err(Attempt::NotSent) };
     if !call.gateway.is_near(endpoint) {
         call.gateway.metrics.across.with_label_values(&[&call.service]).inc();
     }
     let tokens = call.prompt_tokens();
-    let observed = Observed::new(call, endpoint);
-    let mut ticket = Ticket::new(&call.gateway, endpoint, tokens, reservation, observed);
-    ticket.set_ending(Completion::Failed);
-    let request = request_for(call, endpoint, ticket.copy_from(), after_event);
-    match head_of_answer(call, endpoint, address, request, &mut ticket).await {
-        Ok((response, connection)) => Ok(Opened { response, connection, ticket }),
+    let observation = ReleaseObservation::new(call, endpoint);
+    let mut assignment = Assignment::new(&call.gateway, endpoint, tokens, reservation, observation);
+    assignment.set_completion(Completion::Failed);
+    let request = request_for(call, endpoint, assignment.copy_from(), after_event);
+    match send_and_await_head(call, endpoint, address, request, &mut assignment).await {
+        Ok((response, connection)) => Ok(PendingAnswer { response, connection, assignment }),
         Err(attempt) => {
-            ticket.observed.note(&attempt);
+            assignment.observation.record_attempt(&attempt);
             Err(attempt)
         }
     }
 }
 
-async fn head_of_answer(
+async fn send_and_await_head(
     call: &Arc<Call>,
     endpoint: &Registration,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-    ticket: &mut Ticket,
+    assignment: &mut Assignment,
 ) -> Result<(Response<Incoming>, Connection), Attempt> {
     let is_allowed = || call.may_be_sent_to(endpoint);
     let target = Target { address, started_at_ms: endpoint.started_at_ms };
     let exchange = call.gateway.connections.send(&endpoint.id, target, request, is_allowed);
-    match tokio::time::timeout(patience(call), exchange).await {
+    match tokio::time::timeout(answer_timeout(call), exchange).await {
         Ok(Ok((response, connection))) => {
-            let rests = call.take_notice(endpoint, &response);
+            let requests_rest = call.apply_notice(endpoint, &response);
             if response.status() == StatusCode::MISDIRECTED_REQUEST {
-                ticket.set_ending(Completion::Replaced);
-            } else if rests {
-                ticket.set_ending(Completion::Abandoned);
+                assignment.set_completion(Completion::Replaced);
+            } else if requests_rest {
+                assignment.set_completion(Completion::Abandoned);
             }
-            check_head(call, endpoint, &response, rests)?;
-            call.answered_by(ticket);
+            check_head(call, endpoint, &response, requests_rest)?;
+            call.record_answer_began(assignment);
             Ok((response, connection))
         }
         Ok(Err(SendError::NotAllowed)) => {
@@ -177,61 +177,72 @@
                 call.number,
                 endpoint.id
             );
-            ticket.set_ending(Completion::Abandoned);
+            assignment.set_completion(Completion::Abandoned);
             Err(Attempt::NotSent)
         }
-        Ok(Err(SendError::NotSent(why))) => {
-            log::info!("gateway: request {} not sent to {}: {why}", call.number, endpoint.id);
-            call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Unreachable);
-            ticket.observed.failed();
+        Ok(Err(SendError::NotSent(reason))) => {
+            log::info!("gateway: request {} not sent to {}: {reason}", call.number, endpoint.id);
+            call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Unreachable);
+            assignment.observation.record_failed();
             Err(Attempt::NotSent)
         }
-        Ok(Err(SendError::Unknown(why))) => Err(lost(call, endpoint, ticket, &why)),
+        Ok(Err(SendError::Unknown(reason))) => {
+            Err(answer_lost(call, endpoint, assignment, &reason))
+        }
         Err(_) => {
-            call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
-            log::info!("gateway: request {} got no answer of {}", call.number, endpoint.id);
-            // Kept connections may be dead as well, and each would cost another request its
-            // whole time: six of six in a test, one with this.
-            call.gateway.connections.forget(&endpoint.id);
+            call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+            log::info!(
+                "gateway: request {} got no answer from {} in time",
+                call.number,
+                endpoint.id
+            );
+            // Idle connections may be dead too, and each would cost another request its whole
+            // timeout: six of six requests in a test, and one when they are closed here.
+            call.gateway.connections.close_idle(&endpoint.id);
             Err(Attempt::TimedOut)
         }
     }
 }
 
-/// The endpoint ended the connection before the whole answer.
-fn lost(call: &Call, endpoint: &Registration, ticket: &Ticket, why: &str) -> Attempt {
-    call.lost_at(ticket, why);
-    call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+/// Records that the endpoint closed the connection before the answer was complete.
+fn answer_lost(
+    call: &Call,
+    endpoint: &Registration,
+    assignment: &Assignment,
+    reason: &str,
+) -> Attempt {
+    call.record_lost_answer(assignment, reason);
+    call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
     Attempt::Unknown
 }
 
-fn unknown(call: &Call, endpoint: &Registration, why: &str) -> Attempt {
+fn reject_foreign_answer(call: &Call, endpoint: &Registration, reason: &str) -> Attempt {
     log::info!(
-        "gateway: request {} got no answer of its own at {}: {why}",
+        "gateway: request {} got a foreign answer from {}: {reason}",
         call.number,
         endpoint.id
     );
-    call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+    call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
     Attempt::Unknown
 }
 
-/// How long an endpoint is waited for.
-fn patience(call: &Call) -> Duration {
+/// How long to wait for an answer of one endpoint.
+fn answer_timeout(call: &Call) -> Duration {
     let remaining = call.remaining();
     if !call.route.may_repeat() || call.route.attempts < 2 {
         return remaining;
     }
-    let patience = Duration::from_millis(call.route.objective_ms * PATIENCE);
-    remaining.min(patience.max(LEAST_PATIENCE))
+    let timeout = Duration::from_millis(call.route.objective_ms * ANSWER_TIMEOUT_OBJECTIVES);
+    remaining.min(timeout.max(MIN_ANSWER_TIMEOUT))
 }
 
-/// Whether a head is the endpoint's own answer to this request. One that asks for rest gets
-/// that, and is not taken to have failed besides.
+/// Checks that a head is the endpoint's own answer to this request. An endpoint that requests
+/// a rest is not also recorded as failed.
 fn check_head(
     call: &Call,
     endpoint: &Registration,
     response: &Response<Incoming>,
-    rests: bool,
+    requests_rest: bool,
 ) -> Result<(), Attempt> {
     let head = call.gateway.header_names.read_answer(response.headers());
     let status = response.status();
@@ -239,62 +250,66 @@
         let replaced = status == StatusCode::MISDIRECTED_REQUEST;
         let failure = if replaced { Failure::Replaced } else { Failure::Rejected };
         log::info!("gateway: request {} not run by {}: {status}", call.number, endpoint.id);
-        if !rests {
-            call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, failure);
+        if !requests_rest {
+            call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, failure);
         }
         return Err(Attempt::NotExecuted);
     }
     if head.id != call.head.id {
-        return Err(unknown(call, endpoint, "the answer is another request's"));
+        return Err(reject_foreign_answer(call, endpoint, "it belongs to another request"));
     }
     if !head.sealed {
-        return Err(unknown(call, endpoint, "the answer is not the endpoint's"));
+        return Err(reject_foreign_answer(call, endpoint, "it lacks the endpoint's seal"));
     }
     Ok(())
 }
 
-async fn judge(call: &Arc<Call>, endpoint: &Registration, opened: Opened) -> Attempt {
-    let streams = call.route.kind == RouteKind::Streaming;
-    if opened.response.status().is_success() && streams {
-        call.gateway.note_success(endpoint);
-        return Attempt::Answered(stream::relay(call, opened));
+async fn complete_attempt(
+    call: &Arc<Call>,
+    endpoint: &Registration,
+    pending: PendingAnswer,
+) -> Attempt {
+    let is_streaming = call.route.kind == RouteKind::Streaming;
+    if pending.response.status().is_success() && is_streaming {
+        call.gateway.record_success(endpoint);
+        return Attempt::Answered(stream::relay(call, pending));
     }
-    let Opened { response, connection, mut ticket } = opened;
-    let attempt = whole(call, endpoint, response, connection, &ticket).await;
+    let PendingAnswer { response, connection, mut assignment } = pending;
+    let attempt = read_complete_answer(call, endpoint, response, connection, &assignment).await;
     if matches!(attempt, Attempt::Answered(_)) {
-        ticket.set_ending(Completion::Served);
+        assignment.set_completion(Completion::Served);
     }
-    ticket.observed.note(&attempt);
+    assignment.observation.record_attempt(&attempt);
     attempt
 }
 
-/// Reads a whole answer before any of it is passed on.
-async fn whole(
+/// Reads the complete answer before any of it is forwarded.
+async fn read_complete_answer(
     call: &Call,
     endpoint: &Registration,
     response: Response<Incoming>,
     connection: Connection,
-    ticket: &Ticket,
+    assignment: &Assignment,
 ) -> Attempt {
     let (mut head, body) = response.into_parts();
-    let reading = Limited::new(body, MAX_ANSWER).collect();
+    let reading = Limited::new(body, MAX_ANSWER_BYTES).collect();
     let body = match tokio::time::timeout(call.remaining(), reading).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(error)) => return lost(call, endpoint, ticket, &error.to_string()),
+        Ok(Err(error)) => return answer_lost(call, endpoint, assignment, &error.to_string()),
         Err(_) => return Attempt::TimedOut,
     };
-    call.gateway.connections.keep(&endpoint.id, connection);
+    call.gateway.connections.keep_idle(&endpoint.id, connection);
     strip_connection_headers(&mut head.headers);
     if call.parts.method != axum::http::Method::HEAD {
         head.headers.remove(header::CONTENT_LENGTH);
     }
-    call.served();
+    call.record_served();
     let failed = head.status.is_server_error();
     let response = Response::from_parts(head, Body::from(body));
     if failed {
-        call.gateway.note_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
+        call.gateway.record_failure(&endpoint.id, endpoint.started_at_ms, Failure::Failed);
         return Attempt::Error(response);
     }
-    call.gateway.note_success(endpoint);
+    call.gateway.record_success(endpoint);
     Attempt::Answered(response)
 }
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -1,7 +1,8 @@
-//! What a router that hands requests over learns of endpoints that leave.
+//! Detecting leaving endpoints in the answers of requests that were handed over.
 //!
-//! It passes answers on unread, so it looks at their heads only, and asks the router that
-//! served a request which endpoints it knows to leave.
+//! This router relays such answers without parsing them. It scans only their heads, and when
+//! one has the leaving header, requests the list of leaving endpoints from the router that
+//! served the request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,110 +19,113 @@
 use crate::registry::{EndpointStart, Origin};
 use crate::wire::{Open, write_frame};
 
-/// Bytes of a head that are looked at.
-const MOST_HEAD: usize = 16 << 10;
-/// Lines of a head that are looked at.
-const MOST_HEADERS: usize = 96;
-/// Endpoints that a router tells another of at most: more than a fleet has.
-const MOST_LEAVING: usize = 2_048;
-/// How long the other router may take to tell.
-const TOLD_WITHIN: Duration = Duration::from_secs(1);
+/// Most bytes of a head that are scanned.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Most header lines of a head that are parsed.
+const MAX_HEADERS: usize = 96;
+/// Most starts in one report: more than a fleet has endpoints.
+const MAX_LEAVING_STARTS: usize = 2_048;
+/// How long to wait for the report of another router.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Looks at the head of an answer as its bytes pass.
-pub(super) struct HeadWatch<F> {
+/// Scans the head of an answer for the leaving header while its bytes are relayed.
+pub(super) struct LeavingHeaderScanner<F> {
     leaving: HeaderName,
     on_leaving: F,
-    /// The bytes so far; none once the head was whole, or is too long.
+    /// The bytes so far; `None` once the head is complete or too long.
     head: Option<Vec<u8>>,
 }
 
-impl<F: Fn()> HeadWatch<F> {
-    /// Calls `on_leaving` once a head says by the header `leaving` that its endpoint leaves.
-    pub fn new(leaving: HeaderName, on_leaving: F) -> HeadWatch<F> {
-        HeadWatch { leaving, on_leaving, head: Some(Vec::new()) }
+impl<F: Fn()> LeavingHeaderScanner<F> {
+    /// Calls `on_leaving` once a head has the header `leaving`.
+    pub fn new(leaving: HeaderName, on_leaving: F) -> LeavingHeaderScanner<F> {
+        LeavingHeaderScanner { leaving, on_leaving, head: Some(Vec::new()) }
     }
 
-    /// More bytes passed.
-    pub fn see(&mut self, bytes: &[u8]) {
+    /// Scans the next bytes of the answer.
+    pub fn scan(&mut self, bytes: &[u8]) {
         let Some(head) = &mut self.head else { return };
         head.extend_from_slice(bytes);
-        match says_so(head, &self.leaving) {
-            Some(leaves) => {
-                if leaves {
+        match parse_leaving(head, &self.leaving) {
+            Some(is_leaving) => {
+                if is_leaving {
                     (self.on_leaving)();
                 }
                 self.head = None;
             }
-            None if head.len() > MOST_HEAD => self.head = None,
+            None if head.len() > MAX_HEAD_BYTES => self.head = None,
             None => {}
         }
     }
 }
 
-/// Whether a head says that its endpoint leaves; none while it is not whole.
-fn says_so(head: &[u8], leaving: &HeaderName) -> Option<bool> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut answer = httparse::Response::new(&mut headers);
-    match answer.parse(head) {
+/// Whether a head has the leaving header; `None` while the head is incomplete.
+fn parse_leaving(head: &[u8], leaving: &HeaderName) -> Option<bool> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut headers);
+    match response.parse(head) {
         Ok(httparse::Status::Partial) => None,
-        Ok(httparse::Status::Complete(_)) => Some(answer.headers.iter().any(|header| {
+        Ok(httparse::Status::Complete(_)) => Some(response.headers.iter().any(|header| {
             header.name.eq_ignore_ascii_case(leaving.as_str())
                 && header.value.trim_ascii() == crate::notice::LEAVING_VALUE
         })),
-        // What is no head says nothing.
+        // Bytes that are no valid head contain no notice.
         Err(_) => Some(false),
     }
 }
 
-/// What a router knows of endpoints that leave.
+/// Leaving endpoints as reported by one router to another.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct LeavingTold {
-    /// Starts that leave.
+struct LeavingReport {
+    /// Starts that are leaving.
     starts: Vec<EndpointStart>,
-    /// Starts that were known when an answer said so, and where that came from: it may have
-    /// been a later start's.
-    heard: Vec<(EndpointStart, SocketAddr)>,
+    /// Starts that were the latest known when an answer reported leaving, and the addresses it
+    /// came from: the answer may have been a later start's.
+    unattributed: Vec<(EndpointStart, SocketAddr)>,
 }
 
-/// Asks the router that served a request which endpoints leave.
-pub(super) async fn learn_leaving(gateway: Arc<Gateway>, neighbour: Neighbour) {
-    let asked = tokio::time::timeout(TOLD_WITHIN, ask_leaving(&gateway, neighbour)).await;
-    let told = asked.unwrap_or_else(|_| RpcSnafu { message: "it says nothing" }.fail());
-    match told {
-        Ok(told) => take_leaving(&gateway, &told),
+/// Requests the report from the router that served a request, and applies it.
+pub(super) async fn fetch_leaving_report(gateway: Arc<Gateway>, neighbour: Neighbour) {
+    let result =
+        tokio::time::timeout(REPORT_TIMEOUT, request_leaving_report(&gateway, neighbour)).await;
+    let report = result.unwrap_or_else(|_| RpcSnafu { message: "no report in time" }.fail());
+    match report {
+        Ok(report) => apply_leaving_report(&gateway, &report),
         Err(error) => {
             let host = neighbour.host;
-            log::info!("gateway: router {host} does not tell which endpoints leave: {error}");
+            log::info!("gateway: router {host} did not report leaving endpoints: {error}");
         }
     }
 }
 
-fn take_leaving(gateway: &Arc<Gateway>, told: &LeavingTold) {
-    gateway.registry.record_leaving(&told.starts, Origin::Relayed);
+fn apply_leaving_report(gateway: &Arc<Gateway>, report: &LeavingReport) {
+    gateway.registry.record_leaving(&report.starts, Origin::Relayed);
     let now = gateway.now();
-    let leaves = Notice { leaves: true, ..Notice::default() };
-    for (start, address) in &told.heard {
+    let leaving_notice = Notice { leaves: true, ..Notice::default() };
+    for (start, address) in &report.unattributed {
         let (id, started_at_ms) = (start.id.as_str(), start.started_at_ms);
         let start = StartAddress { id, started_at_ms, address: *address };
-        gateway.with_endpoints(|seen| seen.unattributed().record(now, start, &leaves));
+        gateway.with_endpoints(|endpoints| {
+            endpoints.unattributed().record(now, start, &leaving_notice)
+        });
         gateway.check_if_uncertain(id);
     }
 }
 
-async fn ask_leaving(gateway: &Gateway, neighbour: Neighbour) -> Result<LeavingTold> {
+async fn request_leaving_report(gateway: &Gateway, neighbour: Neighbour) -> Result<LeavingReport> {
     let open = Open::Leaving { router: gateway.peers.me };
     let (mut reader, _writer) = gateway.peers.connect(neighbour.peer, &open).await?;
     reader.next().await
 }
 
-/// Tells another router which endpoints leave.
-pub(super) async fn tell_leaving(gateway: Arc<Gateway>, mut writer: OwnedWriteHalf) {
-    let starts = gateway.registry.read(|registry| registry.leaving(MOST_LEAVING));
-    let heard = gateway.with_endpoints(|seen| {
-        let leaving = seen.unattributed().leaving(MOST_LEAVING);
+/// Sends the leaving endpoints to another router.
+pub(super) async fn send_leaving_report(gateway: Arc<Gateway>, mut writer: OwnedWriteHalf) {
+    let starts = gateway.registry.read(|registry| registry.leaving(MAX_LEAVING_STARTS));
+    let unattributed = gateway.with_endpoints(|endpoints| {
+        let leaving = endpoints.unattributed().leaving(MAX_LEAVING_STARTS);
         leaving.map(|start| (EndpointStart::from(start), start.address)).collect()
     });
-    if let Err(error) = write_frame(&mut writer, &LeavingTold { starts, heard }).await {
-        log::debug!("gateway: a router that asked which endpoints leave has left: {error}");
+    if let Err(error) = write_frame(&mut writer, &LeavingReport { starts, unattributed }).await {
+        log::debug!("gateway: cannot send the report of leaving endpoints: {error}");
     }
 }
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -1,4 +1,4 @@
-//! Releases that are rolled out, as this router's requests meet them.
+//! Choosing between releases for the requests of this router while one is rolled out.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, MutexGuard, PoisonError};
@@ -6,8 +6,8 @@
 
 use rand::RngExt;
 
+use super::destination::Destination;
 use super::exchange::Attempt;
-use super::placing::Place;
 use super::request::Call;
 use super::state::Gateway;
 use crate::dispatch::Millis;
@@ -18,128 +18,133 @@
     SplitReason, TrafficSplitter, release_of,
 };
 
-/// How often the leader is told what was seen: several times within the second in which
-/// a bad release has to be found out, and few bytes.
+/// How often observations are reported to the leader: several times within the second in
+/// which a bad release must be detected, at few bytes each.
 const REPORT_INTERVAL: Duration = Duration::from_millis(180);
-/// How often a change of a service's part is logged at most, in milliseconds.
+/// Shortest interval between log lines about a service's share, in milliseconds.
 const LOG_INTERVAL_MS: Millis = 1_000;
 
-/// What this router knows of the releases of its services.
+/// This router's state of the releases of its services.
 #[derive(Debug, Default)]
 pub(super) struct Releases {
-    splits: TrafficSplitter,
+    splitter: TrafficSplitter,
     pub tally: RouterTally,
-    parts: BTreeMap<String, Part>,
+    logged_splits: BTreeMap<String, LoggedSplit>,
 }
 
-/// What goes to a new release, and why, as logged last.
+/// The share of a new release and the reason for it, as last logged.
 #[derive(Debug, PartialEq, Eq)]
-struct Part {
+struct LoggedSplit {
     number: u64,
     permille: u32,
-    cause: SplitReason,
+    reason: SplitReason,
     logged_at: Millis,
 }
 
 impl Releases {
-    /// Logs that another part of a service's requests goes to its new release.
-    fn note_part(
+    /// Logs a changed share of a service's requests for its new release.
+    fn log_split(
         &mut self,
         now: Millis,
         rollout: &Rollout,
         grant: Option<&Grant>,
-        cause: SplitReason,
+        reason: SplitReason,
     ) {
         let permille = grant.map_or(0, |grant| grant.permille);
         let (number, service) = (rollout.number, &rollout.order.service);
-        let part = Part { number, permille, cause, logged_at: now };
-        if let Some(known) = self.parts.get(service) {
-            let is_same = (known.number, known.permille, known.cause) == (number, permille, cause);
+        let split = LoggedSplit { number, permille, reason, logged_at: now };
+        if let Some(known) = self.logged_splits.get(service) {
+            let is_same =
+                (known.number, known.permille, known.reason) == (number, permille, reason);
             let is_new = known.number != number;
             if is_same || !is_new && now < known.logged_at + LOG_INTERVAL_MS {
                 return;
             }
         }
         let version = &rollout.order.version;
-        log::info!("rollout: {version} of {service} is sent {permille} in 1000: {cause:?}");
-        self.parts.insert(service.clone(), part);
+        log::info!("rollout: {version} of {service} gets {permille} of 1000 requests: {reason:?}");
+        self.logged_splits.insert(service.clone(), split);
     }
 }
 
 impl Call {
-    /// Which releases may run it now; none where none may.
+    /// Which releases may run it now; `None` when none may.
     pub(super) fn version_rule(&self) -> Option<VersionRule> {
         let offset = rand::rng().random();
-        self.with_situation(|releases, turn, situation| {
-            let (rule, cause) = releases.splits.rule(turn, &self.route.name, offset, situation);
-            if let Some(rollout) = situation.rollout {
-                releases.note_part(self.gateway.now(), rollout, situation.grant, cause);
+        self.with_router_state(|releases, choice, state| {
+            let (rule, reason) = releases.splitter.rule(choice, &self.route.name, offset, state);
+            if let Some(rollout) = state.rollout {
+                releases.log_split(self.gateway.now(), rollout, state.grant, reason);
             }
             rule
         })
     }
 
-    /// Whether it may be sent to an endpoint, by what is known at this moment.
+    /// Whether it may be sent to an endpoint, as far as is known at this moment.
     pub(super) fn may_be_sent_to(&self, endpoint: &Registration) -> bool {
         self.gateway.takes_work(endpoint)
-            && self.crashes_endpoints().is_none()
+            && self.crash_refusal().is_none()
             && self
                 .eligibility()
                 .is_some_and(|eligibility| self.is_eligible(&eligibility, endpoint))
     }
 
-    /// The caller is about to get a piece of an answer of this release.
+    /// Binds the request to a release, before the caller gets the first piece of its answer.
     pub(super) fn bind(&self, version: &str) {
-        self.turn().bind(version);
+        self.release_choice().bind(version);
     }
 
-    /// Whether its answer may go on at the release that began it.
-    pub(super) fn may_go_on(&self) -> bool {
+    /// Whether its stream may be resumed on the release that began it.
+    pub(super) fn may_resume(&self) -> bool {
         let offset = rand::rng().random();
-        self.with_situation(|releases, turn, situation| {
-            releases.splits.try_resume(turn, &self.route.name, offset, situation)
+        self.with_router_state(|releases, choice, state| {
+            releases.splitter.try_resume(choice, &self.route.name, offset, state)
         })
     }
 
-    /// It was sent to an endpoint of a release: where that came to nothing, it goes to
-    /// another.
-    pub(super) fn failed_at(&self, version: &str, attempt: &Attempt) {
+    /// Records a failed attempt at an endpoint of a release: if that is the new release, the
+    /// request is sent to another.
+    pub(super) fn record_failure_at(&self, version: &str, attempt: &Attempt) {
         if matches!(attempt, Attempt::Answered(_)) {
             return;
         }
-        if let Some(number) = self.number_of(|rollout| rollout.order.version == version) {
-            self.turn().record_failure_at_new(number);
+        if let Some(number) = self.rollout_number(|rollout| rollout.order.version == version) {
+            self.release_choice().record_failure_at_new(number);
         }
     }
 
-    /// Whether it was to go to the new release, had no place there, and may have one at
-    /// another. Once all go to the new one, what it could not serve in time is refused as
-    /// always: the others have to run dry.
-    pub(super) fn gives_up_new(&self, rule: &VersionRule, place: &Place) -> bool {
+    /// Whether it was assigned to the new release, got no place there, and may get one at
+    /// another release. Once all requests go to the new release, those that it cannot serve in
+    /// time are refused as usual, since the other releases have to drain.
+    pub(super) fn falls_back_from_new(
+        &self,
+        rule: &VersionRule,
+        destination: &Destination,
+    ) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
-        let number = self.number_of(|r| r.order.version == *version && !r.stage.is_final());
+        let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
         let Some(number) = number else { return false };
-        let is_refused = matches!(place, Place::TooLate(_));
-        let may_leave = !is_refused || self.is_of_a_part(rule);
-        may_leave && self.turn().record_no_place_at_new(number)
+        let is_refused = matches!(destination, Destination::TooLate(_));
+        let may_fall_back = !is_refused || self.is_partial_traffic(rule);
+        may_fall_back && self.release_choice().record_no_place_at_new(number)
     }
 
-    /// Whether it is of the part that goes to a new release while others go elsewhere.
-    pub(super) fn is_of_a_part(&self, rule: &VersionRule) -> bool {
+    /// Whether it is assigned to a new release that gets only a part of the requests.
+    pub(super) fn is_partial_traffic(&self, rule: &VersionRule) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
-        let number = self.number_of(|r| r.order.version == *version && !r.stage.is_final());
+        let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
         let Some(number) = number else { return false };
         let now = self.gateway.now();
         let grant = self.gateway.rollouts.grant(now, &self.service, number);
-        grant.is_none_or(|grant| grant.permille < ALL_PERMILLE) && !self.turn().is_bound()
+        grant.is_none_or(|grant| grant.permille < ALL_PERMILLE) && !self.release_choice().is_bound()
     }
 
-    fn number_of(&self, is_meant: impl Fn(&Rollout) -> bool) -> Option<u64> {
+    fn rollout_number(&self, matches: impl Fn(&Rollout) -> bool) -> Option<u64> {
         let table = self.gateway.rollouts.table();
-        table.get(&self.service).filter(|rollout| is_meant(rollout)).map(|rollout| rollout.number)
+        table.get(&self.service).filter(|rollout| matches(rollout)).map(|rollout| rollout.number)
     }
 
-    fn with_situation<T>(
+    fn with_router_state<T>(
         &self,
         f: impl FnOnce(&mut Releases, &mut ReleaseChoice, &RouterState<'_>) -> T,
     ) -> T {
@@ -149,20 +154,20 @@
         let grant = rollout.and_then(|rollout| {
             gateway.rollouts.grant(gateway.now(), &self.service, rollout.number)
         });
-        // Asked before the lock: it may look at many endpoints while old ones leave.
+        // Computed before taking the lock: it may visit many endpoints while old ones leave.
         let others_take_work = rollout.is_none_or(|rollout| self.others_take_work(rollout));
         let grant = grant.as_ref();
-        let situation = RouterState { rollout, grant, others_take_work };
-        let mut turn = self.turn();
-        gateway.with_releases(|releases| f(releases, &mut turn, &situation))
+        let state = RouterState { rollout, grant, others_take_work };
+        let mut choice = self.release_choice();
+        gateway.with_releases(|releases| f(releases, &mut choice, &state))
     }
 
-    /// Whether an endpoint of another release than the new one could run it.
+    /// Whether an endpoint of a release other than the new one could run it.
     fn others_take_work(&self, rollout: &Rollout) -> bool {
         if rollout.stage.is_final() {
             return true;
         }
-        let allowed = self.regions_by_now();
+        let allowed = self.current_regions();
         let regions = &self.gateway.settings.host.regions;
         let may_run = |endpoint: &Registration| {
             release_of(rollout, &endpoint.version) == Release::Old
@@ -171,16 +176,16 @@
         self.gateway.registry.read(|registry| registry.ready(&self.service).any(may_run))
     }
 
-    fn turn(&self) -> MutexGuard<'_, ReleaseChoice> {
-        self.turn.lock().unwrap_or_else(PoisonError::into_inner)
+    fn release_choice(&self) -> MutexGuard<'_, ReleaseChoice> {
+        self.release_choice.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Reports what this router sees to the leader while a release is rolled out.
+/// Reports this router's observations to the leader while a release is rolled out.
 pub(super) async fn report(gateway: Arc<Gateway>) {
     let mut table = gateway.rollouts.watch();
-    let is_under_way = |table: &Arc<Rollouts>| table.all().any(|r| !r.stage.is_final());
-    while table.wait_for(is_under_way).await.is_ok() {
+    let is_in_progress = |table: &Arc<Rollouts>| table.all().any(|r| !r.stage.is_final());
+    while table.wait_for(is_in_progress).await.is_ok() {
         let known = gateway.rollouts.table();
         let report = gateway.with_releases(|releases| releases.tally.take_report(&known));
         if !gateway.feeds.report_rollouts(report.clone()) {
--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -1,12 +1,12 @@
-//! A router's own placer, for the time when it reaches no control host.
+//! A router's own placer, used while the router reaches no control host.
 //!
-//! It knows only this router's requests, so it reads for no more than this
-//! router's part of the engines' time, and a little more: others may be idle.
+//! It has only this router's requests, so it plans with this router's part of the engines' time and
+//! a little more, since other routers may be idle.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use super::distance::Distances;
 use super::engines::engines_of;
+use super::hall_regions::HallRegions;
 use super::message::{FromPlacer, PlacementRequest, ToPlacer};
 use super::placer::Placer;
 use super::rules::PlacementRules;
@@ -16,15 +16,16 @@
 use crate::routing::CurrentRouting;
 use crate::wire::HostId;
 
-/// How much more than an equal part of the engines a router takes alone.
-const GENEROSITY: f64 = 1.5;
+/// Multiple of an equal part of the engines' time that a router plans with while it decides by
+/// itself.
+const LOCAL_SHARE_FACTOR: f64 = 1.5;
 
-/// A placer for one router.
+/// The placer of one router.
 #[derive(Debug)]
 pub struct LocalPlacer {
     me: HostId,
     clock: Clock,
-    documents: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     regions: Regions,
     placer: Mutex<Placer>,
@@ -35,25 +36,29 @@
     pub fn new(
         me: HostId,
         clock: Clock,
-        documents: Arc<CurrentRouting>,
+        routing: Arc<CurrentRouting>,
         registry: Arc<SharedRegistry>,
         regions: Regions,
     ) -> LocalPlacer {
         let mut placer = Placer::default();
-        placer.set_distances(Distances::new(regions.clone()));
-        LocalPlacer { me, clock, documents, registry, regions, placer: Mutex::new(placer) }
+        placer.set_hall_regions(HallRegions::new(regions.clone()));
+        LocalPlacer { me, clock, routing, registry, regions, placer: Mutex::new(placer) }
     }
 
     /// Places a request, as one of `routers` that share the engines.
     pub fn place(&self, request: PlacementRequest, routers: usize) -> FromPlacer {
         let seq = request.seq;
-        let Some(routing) = self.documents.current() else { return FromPlacer::Unknown { seq } };
+        let Some(routing) = self.routing.current() else { return FromPlacer::Unknown { seq } };
         let engines = self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
-        let all = PlacementRules::default();
-        let part = (GENEROSITY / routers.max(1) as f64).min(1.0);
-        // No router knows what others send to a cold engine, so none sends it anything.
-        let rules =
-            PlacementRules { reading_share: all.reading_share * part, cold_part: 0.0, ..all };
+        let defaults = PlacementRules::default();
+        let part = (LOCAL_SHARE_FACTOR / routers.max(1) as f64).min(1.0);
+        // A router does not know what others send to a cold engine, so it sends cold engines
+        // nothing.
+        let rules = PlacementRules {
+            reading_share: defaults.reading_share * part,
+            cold_part: 0.0,
+            ..defaults
+        };
         let mut placer = self.placer.lock().unwrap_or_else(PoisonError::into_inner);
         placer.set_rules(rules);
         let now = self.clock.now();
@@ -63,8 +68,8 @@
         decision.map_or(FromPlacer::Unknown { seq }, |decision| decision.answer)
     }
 
-    /// Tells of a placed request.
-    pub fn tell(&self, message: ToPlacer) {
+    /// Applies an update of a placed request.
+    pub fn receive(&self, message: ToPlacer) {
         let mut placer = self.placer.lock().unwrap_or_else(PoisonError::into_inner);
         placer.receive(self.clock.now(), self.me, message);
     }
