--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -17,7 +17,7 @@
 /// A running process.
 struct Process {
     table: MemberTable,
-    next_heartbeat: Millis,
+    heartbeat_due: Millis,
     interval: Millis,
 }
 
@@ -90,7 +90,7 @@
         };
         let seeds = self.control_numbers().map(address).collect();
         let table = MemberTable::new(me, seeds, HeartbeatScope::Control);
-        let process = Process { table, next_heartbeat: self.now, interval: FIRST_HEARTBEAT_MS };
+        let process = Process { table, heartbeat_due: self.now, interval: FIRST_HEARTBEAT_MS };
         self.processes.insert(host, process);
     }
 
@@ -125,13 +125,13 @@
         for host in hosts {
             let now = self.now;
             let process = self.processes.get_mut(&host).unwrap();
-            if now < process.next_heartbeat {
+            if now < process.heartbeat_due {
                 continue;
             }
             process.table.tick(now);
             let (beat, targets) = process.table.next_heartbeat();
             let alone = process.table.is_alone();
-            process.next_heartbeat = now + process.interval;
+            process.heartbeat_due = now + process.interval;
             process.interval =
                 if alone { (process.interval * 2).min(HEARTBEAT_MS) } else { HEARTBEAT_MS };
             for to in targets {
