--- a/src/control.rs
+++ b/src/control.rs
@@ -29,7 +29,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::error::{Error, Result};
-use crate::feed::{self, Followed, Followers, Publication, Subscriptions};
+use crate::feed::{self, FleetState, Publication, Subscribers, Subscriptions};
 use crate::peer::{Incoming, PeerReader, Peers};
 use crate::placement::{self, PlacerHandle};
 use crate::quarantine::SharedQuarantine;
@@ -76,7 +76,7 @@
     /// The placer that runs here.
     pub placement: PlacerHandle,
     /// The feeds that are open from here.
-    pub followers: Arc<Followers>,
+    pub subscribers: Arc<Subscribers>,
     /// The agreement.
     pub handle: Handle,
     /// Set when an operator asks for a planned stop.
@@ -85,8 +85,8 @@
 
 impl Control {
     /// What this host tells by feed, and learns so from the others.
-    fn followed(&self) -> Followed {
-        Followed {
+    fn fleet_state(&self) -> FleetState {
+        FleetState {
             documents: self.documents.clone(),
             registry: self.registry.clone(),
             rollouts: self.rollouts.clone(),
@@ -131,14 +131,14 @@
     let role = Role::Control;
     let (peers, incoming) = Peers::start(&settings.host, role, settings.operator).await?;
     let configs = Arc::new(Configs::default());
-    let followed = Followed::default();
-    let Followed { documents, registry, rollouts, quarantine } = followed.clone();
+    let fleet_state = FleetState::default();
+    let FleetState { documents, registry, rollouts, quarantine } = fleet_state.clone();
     registry.remember(saved::load(&settings.data));
     tokio::spawn(saved::keep_saved(registry.clone(), settings.data.clone()));
     let (handle, driver) = driver::start(
         &settings,
         peers.clone(),
-        Published { configs: configs.clone(), followed },
+        Published { configs: configs.clone(), fleet_state },
         disk,
         found,
     )?;
@@ -165,7 +165,7 @@
         rollouts,
         quarantine,
         rollout_progress: Mutex::default(),
-        followers: Arc::default(),
+        subscribers: Arc::default(),
         handle,
         stop: stop.clone(),
     });
@@ -179,7 +179,7 @@
         tokio::spawn(join::keep_joined(control.clone()));
         Subscriptions::start(
             control.peers.clone(),
-            control.followed(),
+            control.fleet_state(),
             &control.settings.host.hall,
             Role::Control,
         );
@@ -202,11 +202,11 @@
             Open::Agree { host, peer } => {
                 tokio::spawn(serve::take_envelopes(control.clone(), host, peer, reader, writer));
             }
-            Open::Pull { have, .. } => {
+            Open::Pull { held_version, .. } => {
                 tokio::spawn(spread::answer_pull(
                     control.configs.clone(),
                     control.peers.sent.clone(),
-                    have,
+                    held_version,
                     writer,
                 ));
             }
@@ -240,11 +240,11 @@
 ) {
     let publication = Publication {
         subscriber: host,
-        followed: control.followed(),
+        fleet_state: control.fleet_state(),
         leadership: control.handle.leadership.clone(),
         view: control.peers.watch(),
         numbering: control.peers.incarnation,
-        followers: control.followers.clone(),
+        subscribers: control.subscribers.clone(),
     };
     let published = feed::publish(publication, control.peers.sent.clone(), reader, writer);
     if let Err(error) = published.await {
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -215,8 +215,8 @@
                 self.capacity.record_rest(now, router, endpoint, time_ms.into());
                 self.refuse_during_rest(now, router, &mut out);
             }
-            ToDispatcher::Leaving { endpoint, leaves } => {
-                self.capacity.set_leaving(router, endpoint, leaves);
+            ToDispatcher::Leaving { endpoint, is_leaving } => {
+                self.capacity.set_leaving(router, endpoint, is_leaving);
             }
             ToDispatcher::Cancel { seq, customer } => {
                 self.accounts.remove_if(customer, router, |r| r.seq == seq);
--- a/src/dispatch/tests/rests.rs
+++ b/src/dispatch/tests/rests.rs
@@ -13,8 +13,8 @@
     harness.send(ToDispatcher::Rest { endpoint: ENDPOINT, time_ms })
 }
 
-fn set_leaving(harness: &mut Harness, leaves: bool) -> Vec<Decision> {
-    harness.send(ToDispatcher::Leaving { endpoint: ENDPOINT, leaves })
+fn set_leaving(harness: &mut Harness, is_leaving: bool) -> Vec<Decision> {
+    harness.send(ToDispatcher::Leaving { endpoint: ENDPOINT, is_leaving })
 }
 
 #[test]
@@ -126,5 +126,5 @@
     client.set_leaving(EndpointId(2), false);
     let sent: Vec<_> = client.attach(400, 1).into_iter().skip(1).collect();
     let rest = ToDispatcher::Rest { endpoint: ENDPOINT, time_ms: 600 };
-    assert_eq!(sent, [ToDispatcher::Leaving { endpoint: EndpointId(1), leaves: true }, rest]);
+    assert_eq!(sent, [ToDispatcher::Leaving { endpoint: EndpointId(1), is_leaving: true }, rest]);
 }
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -131,7 +131,7 @@
         beat: Beat,
     ) -> Option<(SocketAddr, Beat)> {
         match beat {
-            Beat::Whole(beat) => {
+            Beat::Full(beat) => {
                 let answer_to = self.on_full_heartbeat(now, beat)?;
                 Some((answer_to, self.full_heartbeat()))
             }
@@ -139,14 +139,14 @@
                 let known = self.members.get_mut(&host);
                 let Some(member) = known.filter(|m| m.beat.incarnation == incarnation) else {
                     self.unknown_heartbeats += 1;
-                    return Some((from, Beat::Ask(self.me.clone())));
+                    return Some((from, Beat::RequestFull(self.me.clone())));
                 };
                 member.beat.version = version;
                 member.beat.draining = draining;
                 member.last_heard = now;
                 None
             }
-            Beat::Ask(beat) => {
+            Beat::RequestFull(beat) => {
                 let asker = beat.peer;
                 self.on_full_heartbeat(now, beat);
                 Some((asker, self.full_heartbeat()))
@@ -193,7 +193,7 @@
 
     /// This host's full heartbeat.
     pub fn full_heartbeat(&self) -> Beat {
-        Beat::Whole(self.me.clone())
+        Beat::Full(self.me.clone())
     }
 
     /// Whether the table holds no other host.
@@ -239,7 +239,7 @@
             || self.sent_count <= INITIAL_FULL_HEARTBEATS
             || self.sent_count % FULL_HEARTBEAT_PERIOD == 1;
         let beat = match is_full {
-            true => Beat::Whole(Heartbeat { also, ..self.me.clone() }),
+            true => Beat::Full(Heartbeat { also, ..self.me.clone() }),
             false => Beat::Brief {
                 host: self.me.host,
                 incarnation: self.me.incarnation,
--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -155,7 +155,7 @@
     /// Whether `host` has the current incarnation of `other` as live.
     pub fn sees_live(&self, host: u32, other: u32) -> bool {
         let view = self.processes[&host].table.view(self.now);
-        let Beat::Whole(current) = self.processes[&other].table.full_heartbeat() else {
+        let Beat::Full(current) = self.processes[&other].table.full_heartbeat() else {
             panic!("a full heartbeat has all fields");
         };
         view.get(HostId(other)).is_some_and(|m| m.incarnation == current.incarnation)
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -16,8 +16,8 @@
 use crate::admission::Admission;
 use crate::claim::ClaimClient;
 use crate::config::{Config, CustomerId, EndpointId, HallSet, ServiceId};
-use crate::delivery::{Caller, HttpClient, RetryBudget};
-use crate::feed::{Followed, Subscriptions};
+use crate::delivery::{EndpointClient, HttpClient, RetryBudget};
+use crate::feed::{FleetState, Subscriptions};
 use crate::host_list;
 use crate::peer::Peers;
 use crate::quarantine::{CrashGuard, report_crashes};
@@ -48,7 +48,7 @@
     /// Counters.
     pub metrics: Metrics,
     /// Calls endpoints.
-    pub caller: Caller,
+    pub endpoint_client: EndpointClient,
     /// Which requests crash endpoints.
     pub guard: Arc<CrashGuard>,
     /// What control hosts tell.
@@ -92,10 +92,11 @@
             divisor,
         );
         let claims = ClaimClient::start(peers.clone());
-        let followed = Followed::default();
-        let guard = Arc::new(CrashGuard::new(followed.quarantine.clone(), peers.me, peers.clock));
+        let fleet_state = FleetState::default();
+        let guard =
+            Arc::new(CrashGuard::new(fleet_state.quarantine.clone(), peers.me, peers.clock));
         let hall = settings.host.hall.clone();
-        let feeds = Subscriptions::start(peers.clone(), followed, &hall, Role::Router);
+        let feeds = Subscriptions::start(peers.clone(), fleet_state, &hall, Role::Router);
         Arc::new(Router {
             claims,
             guard,
@@ -107,7 +108,7 @@
             dispatchers,
             trace,
             metrics: Metrics::default(),
-            caller: Caller::default(),
+            endpoint_client: EndpointClient::default(),
             heard: Heard::default(),
             runs: TaskTracker::new(),
             leaving,
@@ -213,7 +214,7 @@
                 changed
             });
         }
-        tokio::time::sleep(host_list::POLL).await;
+        tokio::time::sleep(host_list::POLL_INTERVAL).await;
     }
 }
 
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -2,8 +2,8 @@
 //!
 //! A connection may be dead without either end being told: whoever only reads on it, or
 //! only writes, would go on for ever. So the side that took a connection says something
-//! every [`KEEP_ALIVE`], an empty frame if there is nothing else, and the side that opened
-//! it gives it up after [`SILENCE`].
+//! every [`KEEP_ALIVE_INTERVAL`], an empty frame if there is nothing else, and the side that opened
+//! it gives it up after [`SILENCE_TIMEOUT`].
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,11 +29,11 @@
 const BATCH_INTERVAL: Duration = Duration::from_millis(2);
 /// The longest time for which the side that took a connection says nothing. At 340
 /// routers a control host sends 15 KB/s for it while nothing changes.
-pub const KEEP_ALIVE: Duration = Duration::from_secs(1);
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Silence after which the side that opened a connection gives it up: one keep-alive may
 /// be missed and the next come 0.2 s late, by a retransmission or a busy processor. A dead connection is replaced
 /// before the 3 s are over after which callers count on what is acknowledged.
-pub const SILENCE: Duration = Duration::from_millis(2_200);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_200);
 const LENGTH_BYTES: usize = 4;
 
 /// What bytes between hosts are sent for.
@@ -102,7 +102,7 @@
     }
 
     /// The bytes counted so far for this traffic alone.
-    pub fn get_own(&self) -> u64 {
+    pub fn get_for_traffic(&self) -> u64 {
         self.counters[self.traffic as usize].load(Ordering::Relaxed)
     }
 }
@@ -132,11 +132,11 @@
     write_payload(writer, &[]).await
 }
 
-/// Writes a keep-alive every [`KEEP_ALIVE`], on a connection on which nothing else is
+/// Writes a keep-alive every [`KEEP_ALIVE_INTERVAL`], on a connection on which nothing else is
 /// written, until it ends.
 pub async fn keep_alive<W: AsyncWrite + Unpin>(mut writer: W, sent: SentBytes) -> Result<()> {
     loop {
-        tokio::time::sleep(KEEP_ALIVE).await;
+        tokio::time::sleep(KEEP_ALIVE_INTERVAL).await;
         sent.add(write_keep_alive(&mut writer).await?);
     }
 }
@@ -165,10 +165,10 @@
     }
 
     /// From now on a read fails with [`Error::Silent`] once nothing has come for
-    /// [`SILENCE`].
-    pub fn ends_when_silent(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
+    /// [`SILENCE_TIMEOUT`].
+    pub fn with_silence_timeout(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
         let mut inner = TimeoutReader::new(self.inner);
-        inner.set_timeout(Some(SILENCE));
+        inner.set_timeout(Some(SILENCE_TIMEOUT));
         FrameReader { inner: Box::pin(inner), limit: self.limit }
     }
 
@@ -225,26 +225,26 @@
 
 /// A message and how long it may wait for others to share its frame.
 #[derive(Clone, Debug)]
-pub struct Patient<T> {
+pub struct QueuedMessage<T> {
     /// The message.
     pub message: T,
-    /// Its patience; zero to go at once.
-    pub patience: Duration,
+    /// Its max_delay; zero to go at once.
+    pub max_delay: Duration,
 }
 
-impl<T> From<T> for Patient<T> {
+impl<T> From<T> for QueuedMessage<T> {
     /// A message that goes at once.
     fn from(message: T) -> Self {
-        Patient { message, patience: Duration::ZERO }
+        QueuedMessage { message, max_delay: Duration::ZERO }
     }
 }
 
 /// Where messages for a [`BatchWriter`] go.
-pub type BatchSender<T> = mpsc::UnboundedSender<Patient<T>>;
+pub type BatchSender<T> = mpsc::UnboundedSender<QueuedMessage<T>>;
 
 /// What a [`BatchWriter`] writes next.
 enum Next<T> {
-    Message(Patient<T>),
+    Message(QueuedMessage<T>),
     KeepAlive,
     Closed,
 }
@@ -253,7 +253,7 @@
 /// with it, and after a frame the next waits a moment.
 #[derive(Debug)]
 pub struct BatchWriter<T> {
-    messages: mpsc::UnboundedReceiver<Patient<T>>,
+    messages: mpsc::UnboundedReceiver<QueuedMessage<T>>,
     sent: Option<SentBytes>,
     interval: Duration,
     keeps_alive: bool,
@@ -274,9 +274,9 @@
         (sender, BatchWriter { interval: Duration::ZERO, ..writer })
     }
 
-    /// The same writer, which says something every [`KEEP_ALIVE`]: for the side that took
+    /// The same writer, which says something every [`KEEP_ALIVE_INTERVAL`]: for the side that took
     /// the connection.
-    pub fn keeping_alive(self) -> Self {
+    pub fn with_keep_alives(self) -> Self {
         BatchWriter { keeps_alive: true, ..self }
     }
 
@@ -313,7 +313,7 @@
 
     async fn next(&mut self) -> Next<T> {
         let message = match self.keeps_alive {
-            true => tokio::time::timeout(KEEP_ALIVE, self.messages.recv()).await,
+            true => tokio::time::timeout(KEEP_ALIVE_INTERVAL, self.messages.recv()).await,
             false => Ok(self.messages.recv().await),
         };
         match message {
@@ -324,12 +324,12 @@
     }
 
     /// What goes into one frame with `first`.
-    async fn gather(&mut self, first: Patient<T>) -> Vec<T> {
-        let mut until = Instant::now() + first.patience;
+    async fn gather(&mut self, first: QueuedMessage<T>) -> Vec<T> {
+        let mut until = Instant::now() + first.max_delay;
         let mut batch = vec![first.message];
         loop {
             while let Ok(more) = self.messages.try_recv() {
-                until = until.min(Instant::now() + more.patience);
+                until = until.min(Instant::now() + more.max_delay);
                 batch.push(more.message);
             }
             if Instant::now() >= until {
@@ -337,7 +337,7 @@
             }
             match tokio::time::timeout_at(until, self.messages.recv()).await {
                 Ok(Some(more)) => {
-                    until = until.min(Instant::now() + more.patience);
+                    until = until.min(Instant::now() + more.max_delay);
                     batch.push(more.message);
                 }
                 Ok(None) | Err(_) => return batch,
