--- a/src/claim.rs
+++ b/src/claim.rs
@@ -11,6 +11,6 @@
 
 pub use client::ClaimClient;
 pub use table::{
-    ANSWER_RETENTION_MS, Attempt, CLAIM_RETENTION_MS, Claim, ClaimOutcome, ClaimTable,
+    ANSWER_RETENTION_MS, Attempt, CLAIM_RETENTION_MS, Claim, ClaimDecision, ClaimTable,
     MAX_RECORDED_ANSWER_BYTES, RecordedAnswer, Settlement, fingerprint,
 };
--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::table::{Claim, ClaimOutcome, Settlement};
+use super::table::{Claim, ClaimDecision, Settlement};
 use crate::control::{Ask, Asked, ClaimAnswer, ClaimRequest};
 use crate::peer::Peers;
 use crate::wire::{BatchWriter, Heartbeat, HostId, Open, Role};
@@ -47,7 +47,7 @@
 
     /// The state of a key, without claiming it; none if no attempt holds it or no host
     /// answers within `limit`.
-    pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
+    pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimDecision> {
         match self.send_request(claim, Ask::Look, limit).await? {
             Asked::Claimed(claimed) => Some(claimed),
             _ => None,
@@ -56,7 +56,7 @@
 
     /// Claims a key. None if the claim was not decided within `limit`: the call must not
     /// run then, and the claim is released in the background.
-    pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
+    pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<ClaimDecision> {
         match self.send_request(claim.clone(), Ask::Claim, limit).await {
             Some(Asked::Claimed(claimed)) => Some(claimed),
             _ => {
--- a/src/claim/table.rs
+++ b/src/claim/table.rs
@@ -63,7 +63,7 @@
 
 /// The outcome of a claim or a look-up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimOutcome {
+pub enum ClaimDecision {
     /// The router may run the call.
     Granted,
     /// Another attempt holds the key.
@@ -90,15 +90,15 @@
 }
 
 impl ClaimEntry {
-    fn outcome_for(&self, claim: &Claim) -> ClaimOutcome {
+    fn outcome_for(&self, claim: &Claim) -> ClaimDecision {
         if self.fingerprint != claim.fingerprint {
-            return ClaimOutcome::OtherCall;
+            return ClaimDecision::OtherCall;
         }
         match &self.state {
-            ClaimState::Running(attempt) if *attempt == claim.attempt => ClaimOutcome::Granted,
-            ClaimState::Running(attempt) => ClaimOutcome::Running(*attempt),
-            ClaimState::Answered(answer) => ClaimOutcome::Answered(answer.clone()),
-            ClaimState::Unknown => ClaimOutcome::Unknown,
+            ClaimState::Running(attempt) if *attempt == claim.attempt => ClaimDecision::Granted,
+            ClaimState::Running(attempt) => ClaimDecision::Running(*attempt),
+            ClaimState::Answered(answer) => ClaimDecision::Answered(answer.clone()),
+            ClaimState::Unknown => ClaimDecision::Unknown,
         }
     }
 }
@@ -125,7 +125,7 @@
     }
 
     /// Claims a key at `at_ms`, the leader's wall clock in milliseconds since the epoch.
-    pub fn claim(&mut self, at_ms: u64, claim: &Claim) -> ClaimOutcome {
+    pub fn claim(&mut self, at_ms: u64, claim: &Claim) -> ClaimDecision {
         self.expire(at_ms);
         let id = key_id(claim.customer, &claim.key);
         let Some(entry) = self.entries.get(&id) else {
@@ -134,13 +134,13 @@
             self.entries.insert(id, ClaimEntry { fingerprint, state });
             self.answers_by_age.push_back((self.newest_ms, id));
             self.keys_by_age.push_back((self.newest_ms, id));
-            return ClaimOutcome::Granted;
+            return ClaimDecision::Granted;
         };
         entry.outcome_for(claim)
     }
 
     /// The state of a key, without claiming it; none if it is not claimed.
-    pub fn lookup(&self, claim: &Claim) -> Option<ClaimOutcome> {
+    pub fn lookup(&self, claim: &Claim) -> Option<ClaimDecision> {
         let entry = self.entries.get(&key_id(claim.customer, &claim.key))?;
         Some(entry.outcome_for(claim))
     }
--- a/src/claim/tests.rs
+++ b/src/claim/tests.rs
@@ -22,17 +22,17 @@
 #[test]
 fn a_second_claim_gets_the_recorded_answer() {
     let mut table = ClaimTable::default();
-    assert_eq!(table.claim(0, &claim(1, "k")), ClaimOutcome::Granted);
-    assert_eq!(table.claim(1, &claim(2, "k")), ClaimOutcome::Running(claim(1, "k").attempt));
+    assert_eq!(table.claim(0, &claim(1, "k")), ClaimDecision::Granted);
+    assert_eq!(table.claim(1, &claim(2, "k")), ClaimDecision::Running(claim(1, "k").attempt));
     table.settle(2, &claim(1, "k"), Settlement::Answered(Some(answer("seat 4"))));
-    assert_eq!(table.claim(3, &claim(2, "k")), ClaimOutcome::Answered(Some(answer("seat 4"))));
+    assert_eq!(table.claim(3, &claim(2, "k")), ClaimDecision::Answered(Some(answer("seat 4"))));
 }
 
 #[test]
 fn a_claim_resent_by_its_own_attempt_is_granted_again() {
     let mut table = ClaimTable::default();
-    assert_eq!(table.claim(0, &claim(1, "k")), ClaimOutcome::Granted);
-    assert_eq!(table.claim(0, &claim(1, "k")), ClaimOutcome::Granted);
+    assert_eq!(table.claim(0, &claim(1, "k")), ClaimDecision::Granted);
+    assert_eq!(table.claim(0, &claim(1, "k")), ClaimDecision::Granted);
 }
 
 #[test]
@@ -40,9 +40,9 @@
     let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     table.settle(0, &claim(2, "k"), Settlement::NotRun);
-    assert_eq!(table.claim(0, &claim(2, "k")), ClaimOutcome::Running(claim(1, "k").attempt));
+    assert_eq!(table.claim(0, &claim(2, "k")), ClaimDecision::Running(claim(1, "k").attempt));
     table.settle(0, &claim(1, "k"), Settlement::NotRun);
-    assert_eq!(table.claim(0, &claim(2, "k")), ClaimOutcome::Granted);
+    assert_eq!(table.claim(0, &claim(2, "k")), ClaimDecision::Granted);
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     let other = Claim { fingerprint: 8, ..claim(2, "k") };
-    assert_eq!(table.claim(0, &other), ClaimOutcome::OtherCall);
+    assert_eq!(table.claim(0, &other), ClaimDecision::OtherCall);
 }
 
 #[test]
@@ -58,8 +58,8 @@
     let mut table = ClaimTable::default();
     table.claim(0, &claim(1, "k"));
     table.settle(0, &claim(1, "k"), Settlement::Answered(Some(answer("a"))));
-    assert_eq!(table.claim(ANSWER_RETENTION_MS, &claim(2, "k")), ClaimOutcome::Answered(None));
-    assert_eq!(table.claim(CLAIM_RETENTION_MS, &claim(2, "k")), ClaimOutcome::Granted);
+    assert_eq!(table.claim(ANSWER_RETENTION_MS, &claim(2, "k")), ClaimDecision::Answered(None));
+    assert_eq!(table.claim(CLAIM_RETENTION_MS, &claim(2, "k")), ClaimDecision::Granted);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let mut table = ClaimTable::default();
     table.claim(CLAIM_RETENTION_MS, &claim(1, "k"));
     table.claim(0, &claim(5, "other"));
-    assert_ne!(table.claim(CLAIM_RETENTION_MS + 1, &claim(2, "k")), ClaimOutcome::Granted);
+    assert_ne!(table.claim(CLAIM_RETENTION_MS + 1, &claim(2, "k")), ClaimDecision::Granted);
 }
 
 #[derive(Clone, Debug)]
@@ -100,7 +100,7 @@
             match step {
                 Step::Claim { attempt, key } => {
                     let granted = table.claim(0, &claim(attempt, &key.to_string()));
-                    if granted == ClaimOutcome::Granted {
+                    if granted == ClaimDecision::Granted {
                         let previous = holders[key as usize].replace(attempt);
                         prop_assert!(previous.is_none() || previous == Some(attempt));
                     }
--- a/src/claim/tests/client.rs
+++ b/src/claim/tests/client.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc;
 
-use super::super::{ClaimClient, ClaimOutcome};
+use super::super::{ClaimClient, ClaimDecision};
 use super::claim;
 use crate::control::{Asked, ClaimAnswer, ClaimRequest};
 use crate::peer::Incoming;
@@ -32,7 +32,7 @@
     while let Some(Incoming { mut reader, mut writer, .. }) = incoming.recv().await {
         tokio::spawn(async move {
             while let Ok(requests) = reader.next::<Vec<ClaimRequest>>().await {
-                let asked = Asked::Claimed(ClaimOutcome::Granted);
+                let asked = Asked::Claimed(ClaimDecision::Granted);
                 let answer =
                     |r: ClaimRequest| ClaimAnswer { number: r.number, asked: asked.clone() };
                 let answers: Vec<_> = requests.into_iter().map(answer).collect();
@@ -60,7 +60,8 @@
         let (claims, count) = (claims.clone(), granted.clone());
         tokio::spawn(async move {
             let key = format!("key-{number}");
-            if claims.claim(claim(number, &key), REQUEST_LIMIT).await == Some(ClaimOutcome::Granted)
+            if claims.claim(claim(number, &key), REQUEST_LIMIT).await
+                == Some(ClaimDecision::Granted)
             {
                 count.fetch_add(1, Ordering::Relaxed);
             }
--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -12,7 +12,7 @@
 use super::handle::NoLeader;
 use super::state::{Command, Reply};
 use crate::agree::{Envelope, StoreId};
-use crate::claim::{Claim, ClaimOutcome, Settlement};
+use crate::claim::{Claim, ClaimDecision, Settlement};
 use crate::clock::epoch_ms;
 use crate::peer::PeerReader;
 use crate::wire::{BatchWriter, HostId, Traffic, keep_alive, write_frame};
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Asked {
     /// The claim was decided, or how it stands.
-    Claimed(ClaimOutcome),
+    Claimed(ClaimDecision),
     /// Nobody holds the key.
     Free,
     /// The settlement is on a majority's disks.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{Claim, ClaimOutcome, ClaimTable, Settlement};
+use crate::claim::{Claim, ClaimDecision, ClaimTable, Settlement};
 use crate::config::{Change, History, Refusal};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::registry::DrainedHalls;
@@ -74,7 +74,7 @@
     /// A change was decided.
     Changed(Changed),
     /// A claim was decided.
-    Claimed(ClaimOutcome),
+    Claimed(ClaimDecision),
     /// A settlement was taken.
     Settled,
     /// This version of the routing document is in force now; either the one
--- a/src/control/tests/format.rs
+++ b/src/control/tests/format.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::*;
-use crate::claim::{Attempt, Claim, ClaimOutcome, ClaimTable, Settlement};
+use crate::claim::{Attempt, Claim, ClaimDecision, ClaimTable, Settlement};
 use crate::config::{CustomerId, History};
 use crate::control::format::{decode_command, decode_state, encode_command, encode_state};
 use crate::error::Error;
@@ -250,7 +250,7 @@
     assert_eq!(state.operation("b"), Some(&Changed::Conflict(1)));
     let other = Claim { attempt: Attempt { seq: 9, ..claim().attempt }, ..claim() };
     let held = state.apply(Command::Claim { at_ms: 2, claim: other });
-    assert_eq!(held, Reply::Claimed(ClaimOutcome::Running(claim().attempt)));
+    assert_eq!(held, Reply::Claimed(ClaimDecision::Running(claim().attempt)));
     assert_eq!(**state.document().unwrap(), document(5));
     assert_eq!(state.drained().names().collect::<Vec<_>>(), ["a", "b"]);
     assert_eq!(state.drained().restored_after(0).count(), 0);
@@ -266,7 +266,7 @@
     assert_eq!(**state.document().unwrap(), document(6));
     assert_eq!(state.drained().names().collect::<Vec<_>>(), ["a", "c"]);
     let claimed = state.apply(Command::Claim { at_ms: 3, claim: claim() });
-    assert_eq!(claimed, Reply::Claimed(ClaimOutcome::Answered(None)));
+    assert_eq!(claimed, Reply::Claimed(ClaimDecision::Answered(None)));
 }
 
 /// A state with something in each of its parts, as the two releases before this one held it.
--- a/src/router/once.rs
+++ b/src/router/once.rs
@@ -8,7 +8,7 @@
 use super::serve::Job;
 use super::state::Router;
 use crate::claim::{
-    Attempt as Claimant, Claim, ClaimOutcome, MAX_RECORDED_ANSWER_BYTES, RecordedAnswer,
+    Attempt as Claimant, Claim, ClaimDecision, MAX_RECORDED_ANSWER_BYTES, RecordedAnswer,
     Settlement, fingerprint,
 };
 use crate::delivery::{Answer, Attempt, NotRunReason, Outcome, UnknownReason, header};
@@ -70,18 +70,18 @@
 }
 
 /// What a caller is told of a key that is held; none when it was granted.
-fn held(router: &Router, claimed: ClaimOutcome) -> Option<Outcome> {
+fn held(router: &Router, claimed: ClaimDecision) -> Option<Outcome> {
     match claimed {
-        ClaimOutcome::Granted => None,
-        ClaimOutcome::Running(holder) => Some(match is_live(router, holder) {
+        ClaimDecision::Granted => None,
+        ClaimDecision::Running(holder) => Some(match is_live(router, holder) {
             true => Outcome::Running(RETRY_MS),
             // The holder is gone without a word: the call may have run.
             false => Outcome::Unknown(UnknownReason::Earlier),
         }),
-        ClaimOutcome::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
-        ClaimOutcome::Answered(None) => Some(Outcome::AnsweredBefore),
-        ClaimOutcome::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
-        ClaimOutcome::OtherCall => Some(Outcome::BadRequest(
+        ClaimDecision::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
+        ClaimDecision::Answered(None) => Some(Outcome::AnsweredBefore),
+        ClaimDecision::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
+        ClaimDecision::OtherCall => Some(Outcome::BadRequest(
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("the {} was used for another call", header::KEY),
         )),
