--- a/src/agree/message.rs
+++ b/src/agree/message.rs
@@ -90,8 +90,8 @@
 
 impl Envelope {
     /// Whether the sender must sync its disk before it sends this message.
-    /// Entries from a leader don't count as stored on the leader, and a pre-vote
-    /// is not binding, so neither waits.
+    /// Messages with entries or a snapshot don't wait, as a leader counts its own copy
+    /// only once it is synced; nor does a pre-vote, which is not binding.
     pub fn needs_sync(&self) -> bool {
         match self.message {
             Message::AppendEntries { .. } | Message::InstallSnapshot { .. } => false,
@@ -108,7 +108,7 @@
 pub enum Message {
     /// Asks for a vote, or for a pre-vote.
     RequestVote {
-        /// Whether this is a pre-vote: whether the receiver would grant its vote.
+        /// Whether this is a pre-vote, which asks whether the receiver would grant its vote.
         pre_vote: bool,
         /// The index of the candidate's last entry.
         last_index: u64,
--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -15,8 +15,8 @@
 
 /// Milliseconds between two heartbeats of a leader.
 pub const HEARTBEAT_MS: Millis = 100;
-/// Shortest election timeout in milliseconds: without contact to a leader for that
-/// long, a voter starts an election. Timeouts are random, up to twice as long.
+/// Shortest election timeout in milliseconds: without contact with a leader for
+/// that long, a voter starts an election. Timeouts are random, up to twice as long.
 pub const MIN_ELECTION_TIMEOUT_MS: Millis = 700;
 /// The shortest election timeout in milliseconds before the first contact with a leader
 /// after a start; it doubles with each attempt up to [`MIN_ELECTION_TIMEOUT_MS`]. It is
--- a/src/claim/table.rs
+++ b/src/claim/table.rs
@@ -61,7 +61,7 @@
     Unknown,
 }
 
-/// The outcome of a claim or a look-up.
+/// The decision on a claim, or the state of a key that was looked up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimDecision {
     /// The router may run the call.
