--- a/src/control/serve.rs
+++ b/src/control/serve.rs
@@ -13,7 +13,7 @@
 use super::handle::NoLeader;
 use super::state::{Command, Reply};
 use crate::agree::{Envelope, StoreId};
-use crate::claim::{Claim, ClaimOutcome, Settlement};
+use crate::claim::{Claim, ClaimDecision, Settlement};
 use crate::clock::epoch_ms;
 use crate::peer::PeerReader;
 use crate::wire::{BatchWriter, HostId, Traffic, keep_alive, write_frame};
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
     /// The decision on the claim or, for a lookup, the state of the key.
-    Claimed(ClaimOutcome),
+    Claimed(ClaimDecision),
     /// The key is not claimed.
     Free,
     /// The settlement is on the disks of a majority.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{Claim, ClaimOutcome, ClaimTable, Settlement};
+use crate::claim::{Claim, ClaimDecision, ClaimTable, Settlement};
 use crate::config::{Change, History, Refusal};
 use crate::quarantine::{Quarantines, Verdict};
 use crate::registry::DrainedHalls;
@@ -75,7 +75,7 @@
     /// The outcome of a configuration change.
     Changed(ChangeOutcome),
     /// The outcome of a claim.
-    Claimed(ClaimOutcome),
+    Claimed(ClaimDecision),
     /// The settlement is recorded.
     Settled,
     /// The version of the routing document now in force: the submitted one, or one at
--- a/src/control/tests/format.rs
+++ b/src/control/tests/format.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use super::*;
-use crate::claim::{Attempt, Claim, ClaimOutcome, ClaimTable, Settlement};
+use crate::claim::{Attempt, Claim, ClaimDecision, ClaimTable, Settlement};
 use crate::config::{CustomerId, History};
 use crate::control::format::{decode_command, decode_state, encode_command, encode_state};
 use crate::error::Error;
@@ -251,7 +251,7 @@
     assert_eq!(state.operation("b"), Some(&ChangeOutcome::Conflict(1)));
     let other = Claim { attempt: Attempt { seq: 9, ..claim().attempt }, ..claim() };
     let held = state.apply(Command::Claim { at_ms: 2, claim: other });
-    assert_eq!(held, Reply::Claimed(ClaimOutcome::Running(claim().attempt)));
+    assert_eq!(held, Reply::Claimed(ClaimDecision::Running(claim().attempt)));
     assert_eq!(**state.document().unwrap(), document(5));
     assert_eq!(state.drained().names().collect::<Vec<_>>(), ["a", "b"]);
     assert_eq!(state.drained().restored_after(0).count(), 0);
@@ -267,7 +267,7 @@
     assert_eq!(**state.document().unwrap(), document(6));
     assert_eq!(state.drained().names().collect::<Vec<_>>(), ["a", "c"]);
     let claimed = state.apply(Command::Claim { at_ms: 3, claim: claim() });
-    assert_eq!(claimed, Reply::Claimed(ClaimOutcome::Answered(None)));
+    assert_eq!(claimed, Reply::Claimed(ClaimDecision::Answered(None)));
 }
 
 /// An encoded state in which no part but the quarantines is empty, in the form of each of the two
--- a/src/router/run_once.rs
+++ b/src/router/run_once.rs
@@ -8,7 +8,7 @@
 use super::serve::Job;
 use super::state::Router;
 use crate::claim::{
-    Attempt as Claimant, Claim, ClaimOutcome, MAX_RECORDED_ANSWER_BYTES, RecordedAnswer,
+    Attempt as Claimant, Claim, ClaimDecision, MAX_RECORDED_ANSWER_BYTES, RecordedAnswer,
     Settlement, fingerprint,
 };
 use crate::delivery::{Answer, Attempt, NotRunReason, Outcome, UnknownReason, header};
@@ -73,18 +73,18 @@
 
 /// Returns the outcome for a call whose key is held by another call, or `None` if the claim was
 /// granted.
-fn held_outcome(router: &Router, claimed: ClaimOutcome) -> Option<Outcome> {
+fn held_outcome(router: &Router, claimed: ClaimDecision) -> Option<Outcome> {
     match claimed {
-        ClaimOutcome::Granted => None,
-        ClaimOutcome::Running(holder) => Some(match is_holder_live(router, holder) {
+        ClaimDecision::Granted => None,
+        ClaimDecision::Running(holder) => Some(match is_holder_live(router, holder) {
             true => Outcome::Running(RETRY_AFTER_MS),
             // The holder is gone without having settled its claim: the call may have run.
             false => Outcome::Unknown(UnknownReason::Earlier),
         }),
-        ClaimOutcome::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
-        ClaimOutcome::Answered(None) => Some(Outcome::AnsweredBefore),
-        ClaimOutcome::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
-        ClaimOutcome::OtherCall => Some(Outcome::BadRequest(
+        ClaimDecision::Answered(Some(answer)) => Some(Outcome::Answered(replay(answer))),
+        ClaimDecision::Answered(None) => Some(Outcome::AnsweredBefore),
+        ClaimDecision::Unknown => Some(Outcome::Unknown(UnknownReason::Earlier)),
+        ClaimDecision::OtherCall => Some(Outcome::BadRequest(
             StatusCode::UNPROCESSABLE_ENTITY,
             format!("the {} was used for another call", header::KEY),
         )),
