--- a/src/control.rs
+++ b/src/control.rs
@@ -39,7 +39,7 @@
 use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
 use crate::spread::{self, Configs};
-use crate::store::{Disk, Found};
+use crate::store::{Disk, RecoveredState};
 use crate::wire::{HostId, Open, Role, Traffic};
 
 /// Pause before the data folder is opened again after an I/O error.
@@ -106,7 +106,7 @@
 
 /// Opens the data folder. I/O errors are retried if the settings say `wait_for_disk`; a damaged
 /// folder or one in use by another process is always an error.
-async fn open_disk(settings: &ControlSettings) -> Result<(Disk, Found)> {
+async fn open_disk(settings: &ControlSettings) -> Result<(Disk, RecoveredState)> {
     loop {
         match Disk::open(&settings.data) {
             Err(error @ Error::File { .. }) if settings.wait_for_disk => {
--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -18,7 +18,7 @@
 /// Bootstraps the group if this host is the founder with the lowest id and no founder belongs
 /// to a group yet.
 pub(super) async fn bootstrap(control: Arc<Control>) {
-    let (founders, addresses) = control.settings.founding();
+    let (founders, addresses) = control.settings.bootstrap_hosts();
     if founders.iter().min() != Some(&control.peers.me) {
         return;
     }
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -21,7 +21,7 @@
 use crate::error::{NetSnafu, Result};
 use crate::peer::Peers;
 use crate::settings::ControlSettings;
-use crate::store::{Disk, DiskWriter, Found};
+use crate::store::{Disk, DiskWriter, RecoveredState};
 
 /// Most events handled in one batch, whose proposals share one sync to disk.
 const MAX_BATCH: usize = 1_024;
@@ -43,7 +43,7 @@
     peers: Arc<Peers>,
     published: PublishedState,
     disk: Disk,
-    found: Found,
+    found: RecoveredState,
 ) -> Result<(Handle, JoinHandle<Result<()>>)> {
     let store = disk.identity();
     let (disk, synced) =
@@ -54,12 +54,12 @@
     let state = decode_state(&found.snapshot.data, found.snapshot.index)?;
     let applied_index = found.snapshot.index;
     let mut replica = Replica::new(now, store, found.hard, found.snapshot, found.entries, seed);
-    replica.set_max_voters(settings.most_voters());
+    replica.set_max_voters(settings.max_voters());
     let status = watch::Sender::new(Leadership::of(&replica));
     let leadership = status.subscribe();
     let driver = Driver {
         store,
-        max_voters: settings.most_voters(),
+        max_voters: settings.max_voters(),
         unsynced: VecDeque::new(),
         published,
         leadership: status,
