--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -6,8 +6,8 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::table::{Claim, ClaimOutcome, Settlement};
-use crate::control::{Ask, Asked, ClaimAnswer, ClaimRequest};
+use super::table::{Claim, ClaimDecision, Settlement};
+use crate::control::{ClaimAction, ClaimAnswer, ClaimReply, ClaimRequest};
 use crate::peer::Peers;
 use crate::wire::{BatchWriter, Heartbeat, HostId, Open, Role};
 
@@ -20,9 +20,9 @@
 
 struct PendingRequest {
     claim: Claim,
-    ask: Ask,
+    ask: ClaimAction,
     expires_at: tokio::time::Instant,
-    reply: oneshot::Sender<Asked>,
+    reply: oneshot::Sender<ClaimReply>,
 }
 
 /// Sends claim requests to the leader, and repeats those whose answer was lost.
@@ -47,18 +47,18 @@
 
     /// The state of a key, without claiming it; none if no attempt holds it or no host
     /// answers within `limit`.
-    pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
-        match self.send_request(claim, Ask::Look, limit).await? {
-            Asked::Claimed(claimed) => Some(claimed),
+    pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimDecision> {
+        match self.send_request(claim, ClaimAction::Lookup, limit).await? {
+            ClaimReply::Claimed(claimed) => Some(claimed),
             _ => None,
         }
     }
 
     /// Claims a key. None if the claim was not decided within `limit`: the call must not
     /// run then, and the claim is released in the background.
-    pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<ClaimOutcome> {
-        match self.send_request(claim.clone(), Ask::Claim, limit).await {
-            Some(Asked::Claimed(claimed)) => Some(claimed),
+    pub async fn claim(&self, claim: Claim, limit: Duration) -> Option<ClaimDecision> {
+        match self.send_request(claim.clone(), ClaimAction::Claim, limit).await {
+            Some(ClaimReply::Claimed(claimed)) => Some(claimed),
             _ => {
                 drop(self.settle(claim, Settlement::NotRun));
                 None
@@ -74,16 +74,21 @@
     }
 
     /// Settles a claim in the background.
-    fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<Asked> {
+    fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<ClaimReply> {
         let (reply, settled) = oneshot::channel();
         let expires_at = tokio::time::Instant::now() + MAX_SETTLE_TIME;
-        let ask = Ask::Settle(settlement);
+        let ask = ClaimAction::Settle(settlement);
         // Sending cannot fail: the task runs as long as the process.
         let _ = self.0.send(PendingRequest { claim, ask, expires_at, reply });
         settled
     }
 
-    async fn send_request(&self, claim: Claim, ask: Ask, limit: Duration) -> Option<Asked> {
+    async fn send_request(
+        &self,
+        claim: Claim,
+        ask: ClaimAction,
+        limit: Duration,
+    ) -> Option<ClaimReply> {
         let (reply, receiver) = oneshot::channel();
         let expires_at = tokio::time::Instant::now() + limit;
         self.0.send(PendingRequest { claim, ask, expires_at, reply }).ok()?;
@@ -221,21 +226,21 @@
     /// Passes answers on to the callers. Returns whether the host is still the leader.
     fn on_answers(&mut self, host: HostId, batch: Vec<ClaimAnswer>) -> bool {
         let mut still_leads = true;
-        for ClaimAnswer { number, asked } in batch {
-            match asked {
-                Asked::Elsewhere(leader) => {
+        for ClaimAnswer { number, reply } in batch {
+            match reply {
+                ClaimReply::Elsewhere(leader) => {
                     self.leader = leader;
                     still_leads = false;
                 }
-                Asked::Uncertain => {
+                ClaimReply::Uncertain => {
                     self.leader = None;
                     still_leads = false;
                 }
-                asked => {
+                reply => {
                     self.leader = Some(host);
                     if let Some(request) = self.pending.remove(&number) {
                         // The caller may have timed out.
-                        let _ = request.reply.send(asked);
+                        let _ = request.reply.send(reply);
                     }
                 }
             }
@@ -246,6 +251,6 @@
 
 impl PendingRequest {
     fn to_message(&self, number: u64) -> ClaimRequest {
-        ClaimRequest { number, claim: self.claim.clone(), ask: self.ask.clone() }
+        ClaimRequest { number, claim: self.claim.clone(), action: self.ask.clone() }
     }
 }
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -2,7 +2,7 @@
 
 use super::proto;
 use crate::config::{Change, Document};
-use crate::control::Changed;
+use crate::control::ChangeOutcome;
 
 /// Longest operation name, in bytes.
 const MAX_OPERATION_BYTES: usize = 64;
@@ -14,18 +14,18 @@
 }
 
 /// The reply that reports the outcome of a change.
-pub(super) fn reply(outcome: Changed) -> proto::ApplyReply {
+pub(super) fn reply(outcome: ChangeOutcome) -> proto::ApplyReply {
     use proto::apply_reply::Result;
     match outcome {
-        Changed::Accepted(version) => {
+        ChangeOutcome::Accepted(version) => {
             let result = Result::Accepted.into();
             proto::ApplyReply { result, version, ..Default::default() }
         }
-        Changed::Conflict(version) => {
+        ChangeOutcome::Conflict(version) => {
             let result = Result::Conflict.into();
             proto::ApplyReply { result, version, ..Default::default() }
         }
-        Changed::Refused(refusal) => proto::ApplyReply {
+        ChangeOutcome::Refused(refusal) => proto::ApplyReply {
             result: Result::Refused.into(),
             version: 0,
             field: refusal.field,
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -13,7 +13,7 @@
 use super::proto::operator_server::{Operator, OperatorServer};
 use super::{client, proto, view};
 use crate::agree::{GroupMember, StoreId};
-use crate::control::{Command, Control, HallOrder, NoLeader, Reply, Unanswered};
+use crate::control::{CallError, Command, Control, HallOrder, NoLeader, Reply};
 use crate::quarantine::{Fingerprint, InvalidFingerprint};
 use crate::wire::{HostId, Role};
 
@@ -59,14 +59,12 @@
 }
 
 /// The gRPC status of a failed call about a roll-out.
-fn rollout_error(unanswered: &Unanswered, service: &str) -> Status {
+fn rollout_error(unanswered: &CallError, service: &str) -> Status {
     match unanswered {
-        Unanswered::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
-        Unanswered::UnknownService => {
-            Status::not_found(format!("no service is called '{service}'"))
-        }
-        Unanswered::NoRollout => Status::not_found(format!("service '{service}' had no roll-out")),
-        Unanswered::UnderWay => Status::failed_precondition(format!(
+        CallError::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
+        CallError::UnknownService => Status::not_found(format!("no service is called '{service}'")),
+        CallError::NoRollout => Status::not_found(format!("service '{service}' had no roll-out")),
+        CallError::UnderWay => Status::failed_precondition(format!(
             "another roll-out of service '{service}' is under way"
         )),
         _ => no_decision(),
@@ -234,7 +232,7 @@
         let Some(member) = view.get(host).filter(|m| m.role == Role::Control) else {
             return Err(Status::not_found(format!("no live control host {host}")));
         };
-        let identity = crate::control::found::identify(&self.0, member.peer).await;
+        let identity = crate::control::bootstrap::identify(&self.0, member.peer).await;
         let identity = identity.map_err(|e| Status::unavailable(e.to_string()))?;
         let new_member = GroupMember {
             store: identity.store,
@@ -243,7 +241,7 @@
             voter: false,
             replaces,
         };
-        let (accepted, message) = match self.0.handle.let_in(new_member).await {
+        let (accepted, message) = match self.0.handle.add_member(new_member).await {
             Ok(true) => (true, format!("store {} counts once it has caught up", identity.store)),
             Ok(false) => (false, "another change of the group is under way".to_string()),
             Err(NoLeader::Elsewhere(host)) => (false, format!("ask host {host}, which leads")),
@@ -263,11 +261,11 @@
                 let drained_halls = halls.names().map(str::to_string).collect();
                 Ok(Response::new(proto::OrderHallReply { drained_halls }))
             }
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.order_hall(mark_forwarded(request)).await
             }
-            Err(Unanswered::UnknownHall) => {
+            Err(CallError::UnknownHall) => {
                 Err(Status::not_found(format!("no data hall is called '{hall}'")))
             }
             Err(_) => Err(no_decision()),
@@ -282,7 +280,7 @@
         let within = Duration::from_millis(within_ms);
         match self.0.order_rollout(&service, &version, within).await {
             Ok(()) => Ok(Response::new(proto::OrderRolloutReply {})),
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.order_rollout(mark_forwarded(request)).await
             }
@@ -300,7 +298,7 @@
                 let rollout = Some(view::rollout(&rollout));
                 Ok(Response::new(proto::GetRolloutReply { rollout }))
             }
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.get_rollout(mark_forwarded(request)).await
             }
@@ -317,7 +315,7 @@
             .map_err(|error: InvalidFingerprint| Status::invalid_argument(error.to_string()))?;
         match self.0.release(fingerprint).await {
             Ok(()) => Ok(Response::new(proto::ReleaseReply {})),
-            Err(Unanswered::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
+            Err(CallError::Elsewhere(host)) if !request.metadata().contains_key(FORWARDED) => {
                 let mut client = self.leader(host).await?;
                 client.release(mark_forwarded(request)).await
             }
