--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -59,8 +59,8 @@
 }
 
 /// The gRPC status of a failed call about a roll-out.
-fn rollout_error(unanswered: &CallError, service: &str) -> Status {
-    match unanswered {
+fn rollout_error(error: &CallError, service: &str) -> Status {
+    match error {
         CallError::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
         CallError::UnknownService => Status::not_found(format!("no service is called '{service}'")),
         CallError::NoRollout => Status::not_found(format!("service '{service}' had no roll-out")),
@@ -284,7 +284,7 @@
                 let mut client = self.leader(host).await?;
                 client.order_rollout(mark_forwarded(request)).await
             }
-            Err(unanswered) => Err(rollout_error(&unanswered, &service)),
+            Err(error) => Err(rollout_error(&error, &service)),
         }
     }
 
@@ -302,7 +302,7 @@
                 let mut client = self.leader(host).await?;
                 client.get_rollout(mark_forwarded(request)).await
             }
-            Err(unanswered) => Err(rollout_error(&unanswered, &service)),
+            Err(error) => Err(rollout_error(&error, &service)),
         }
     }
 
