--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -20,7 +20,7 @@
 
 struct PendingRequest {
     claim: Claim,
-    ask: ClaimAction,
+    action: ClaimAction,
     expires_at: tokio::time::Instant,
     reply: oneshot::Sender<ClaimReply>,
 }
@@ -49,7 +49,7 @@
     /// answers within `limit`.
     pub async fn lookup(&self, claim: Claim, limit: Duration) -> Option<ClaimDecision> {
         match self.send_request(claim, ClaimAction::Lookup, limit).await? {
-            ClaimReply::Claimed(claimed) => Some(claimed),
+            ClaimReply::Claimed(decision) => Some(decision),
             _ => None,
         }
     }
@@ -77,21 +77,21 @@
     fn settle(&self, claim: Claim, settlement: Settlement) -> oneshot::Receiver<ClaimReply> {
         let (reply, settled) = oneshot::channel();
         let expires_at = tokio::time::Instant::now() + MAX_SETTLE_TIME;
-        let ask = ClaimAction::Settle(settlement);
+        let action = ClaimAction::Settle(settlement);
         // Sending cannot fail: the task runs as long as the process.
-        let _ = self.0.send(PendingRequest { claim, ask, expires_at, reply });
+        let _ = self.0.send(PendingRequest { claim, action, expires_at, reply });
         settled
     }
 
     async fn send_request(
         &self,
         claim: Claim,
-        ask: ClaimAction,
+        action: ClaimAction,
         limit: Duration,
     ) -> Option<ClaimReply> {
         let (reply, receiver) = oneshot::channel();
         let expires_at = tokio::time::Instant::now() + limit;
-        self.0.send(PendingRequest { claim, ask, expires_at, reply }).ok()?;
+        self.0.send(PendingRequest { claim, action, expires_at, reply }).ok()?;
         tokio::time::timeout(limit, receiver).await.ok()?.ok()
     }
 }
@@ -251,6 +251,6 @@
 
 impl PendingRequest {
     fn to_message(&self, number: u64) -> ClaimRequest {
-        ClaimRequest { number, claim: self.claim.clone(), action: self.ask.clone() }
+        ClaimRequest { number, claim: self.claim.clone(), action: self.action.clone() }
     }
 }
