--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! A process's place among its peers: heartbeats by UDP, connections by TCP.
+//! Communication with the other hosts: heartbeats over UDP, connections over TCP.
 
 mod link;
 #[cfg(test)]
@@ -21,62 +21,62 @@
 use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Table, View};
 use crate::settings::HostSettings;
 use crate::wire::{
-    Beat, FrameReader, Heartbeat, HostId, Open, Role, SentBytes, Traffic, UDP_HEADER,
+    Beat, FrameReader, Heartbeat, HostId, Open, Role, SentBytes, Traffic, UDP_HEADER_BYTES,
     decode_versioned, encode_versioned, write_payload,
 };
 
 pub use link::Links;
 
-/// How long a connection to a peer may take.
+/// The time-out for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a peer may take to say what its connection is for.
+/// The time-out for the opening frame of a connection that a peer result.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 /// The largest opening frame and the largest datagram, in bytes.
-const MAX_OPEN: usize = 4_096;
-/// Of the datagrams that cannot be read, one in so many is logged: some lines a minute
-/// from a fleet in a rolling restart.
-const UNREADABLE_LOGGED: u64 = 64;
-/// How often the view is worked out anew.
+const MAX_OPEN_BYTES: usize = 4_096;
+/// One in this many malformed datagrams is logged, which gives a few lines a minute during
+/// a rolling restart of a fleet.
+const MALFORMED_LOG_INTERVAL: u64 = 64;
+/// The interval at which the view is recomputed, and the pause after a failed accept.
 const VIEW_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The reading half of a connection between hosts.
 pub type PeerReader = FrameReader<BufReader<OwnedReadHalf>>;
 
-/// A connection that a peer opened.
+/// A connection that a peer result.
 #[derive(Debug)]
 pub struct Incoming {
-    /// What it is for.
+    /// The opening frame, which names the purpose of the connection.
     pub open: Open,
-    /// What the peer sends.
+    /// Reads what the peer sends.
     pub reader: PeerReader,
-    /// Where answers go.
+    /// Writes answers to the peer.
     pub writer: OwnedWriteHalf,
 }
 
-/// Access to the other hosts.
+/// The other hosts: their view, and connections to them.
 #[derive(Debug)]
 pub struct Peers {
     /// This host's number.
     pub me: HostId,
-    /// Where peers reach this host.
+    /// The address for peers of this host.
     pub address: SocketAddr,
-    /// This start of the process, in milliseconds since the epoch.
+    /// When this process started, in milliseconds since the epoch.
     pub incarnation: u64,
-    /// The clock of all decisions here.
+    /// The clock of this process.
     pub clock: Clock,
-    /// Cuts rehearsed on this host's links.
+    /// The cuts rehearsed on this host's links.
     pub links: Links,
     /// Control bytes sent to other hosts.
     pub sent: SentBytes,
     table: Mutex<Table>,
     view: watch::Sender<Arc<View>>,
     other_protocols: AtomicU64,
-    unreadable: AtomicU64,
+    malformed: AtomicU64,
 }
 
 impl Peers {
-    /// Opens the peer port and begins to exchange heartbeats. Connections that
-    /// peers open come out of the receiver.
+    /// Opens the peer port and starts to exchange heartbeats. Connections result by peers
+    /// are delivered by the receiver.
     pub async fn start(
         settings: &HostSettings,
         role: Role,
@@ -110,7 +110,7 @@
             table: Mutex::new(table),
             view: watch::Sender::new(first),
             other_protocols: AtomicU64::new(0),
-            unreadable: AtomicU64::new(0),
+            malformed: AtomicU64::new(0),
         });
         let (sender, incoming) = mpsc::channel(64);
         let udp = Arc::new(udp);
@@ -131,51 +131,52 @@
         self.view.borrow().clone()
     }
 
-    /// This host has another configuration in force.
+    /// Sets the configuration version that heartbeats report as in force on this host.
     pub fn set_version(&self, version: u64) {
         self.with_table(|t| t.set_version(version));
     }
 
-    /// This host is in a planned stop.
+    /// Makes heartbeats report that this host is draining for a planned stop.
     pub fn set_draining(&self) {
         self.with_table(Table::set_draining);
     }
 
-    /// Brief heartbeats of hosts that have not said the whole, since the start.
+    /// The number of brief heartbeats, since the start, from hosts that sent no full one.
     pub fn unknown_heartbeats(&self) -> u64 {
         self.table.lock().unwrap_or_else(PoisonError::into_inner).unknown_heartbeats()
     }
 
-    /// Datagrams and connections of other versions of the protocol, since the start.
+    /// The number of datagrams and connections with another protocol version, since the
+    /// start.
     pub fn other_protocols(&self) -> u64 {
         self.other_protocols.load(Ordering::Relaxed)
     }
 
-    fn note_other_protocol(&self, error: &Error) {
+    fn count_other_protocol(&self, error: &Error) {
         if matches!(error, Error::OtherProtocol { .. }) {
             self.other_protocols.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// A datagram could not be read. Hosts of another release send one every half
-    /// second for as long as both run, so few of them are logged.
-    fn note_unreadable(&self, from: SocketAddr, error: &Error) {
-        self.note_other_protocol(error);
-        let dropped = self.unreadable.fetch_add(1, Ordering::Relaxed);
-        if dropped.is_multiple_of(UNREADABLE_LOGGED) {
+    /// Counts a datagram that could not be decoded, and logs a few of them: hosts of another
+    /// release send one every half second for as long as both run.
+    fn count_malformed(&self, from: SocketAddr, error: &Error) {
+        self.count_other_protocol(error);
+        let dropped = self.malformed.fetch_add(1, Ordering::Relaxed);
+        if dropped.is_multiple_of(MALFORMED_LOG_INTERVAL) {
             log::warn!(
                 "member: dropped a malformed datagram from {from}: {error}, {dropped} before"
             );
         }
     }
 
-    /// A connection to a host failed.
+    /// Records that a connection to a host failed; the host is avoided for a while.
     pub fn record_connect_failure(&self, host: HostId) {
         let now = self.clock.now();
         self.with_table(|t| t.avoid(now, host));
     }
 
-    /// Connects to a peer and says what for.
+    /// Connects to a peer and sends the opening frame.
     pub async fn connect(
         &self,
         to: SocketAddr,
@@ -250,7 +251,7 @@
 async fn send_beat(peers: &Peers, udp: &UdpSocket, beat: &Beat, targets: Vec<SocketAddr>) {
     let datagram = match encode_versioned(beat) {
         Ok(datagram) => datagram,
-        Err(error) => return log::error!("member: a heartbeat cannot be encoded: {error}"),
+        Err(error) => return log::error!("member: cannot encode a heartbeat: {error}"),
     };
     let view = peers.view();
     let known = view.live.iter().chain(&view.suspected);
@@ -258,15 +259,15 @@
     let cut: HashSet<SocketAddr> = cut.collect();
     let heartbeats = peers.sent.of(Traffic::Heartbeats);
     for target in targets.into_iter().filter(|target| !cut.contains(target)) {
-        // A lost heartbeat is made good by the next one.
+        // The next heartbeat makes up for one that is not sent.
         if udp.send_to(&datagram, target).await.is_ok() {
-            heartbeats.add(datagram.len() as u64 + UDP_HEADER);
+            heartbeats.add(datagram.len() as u64 + UDP_HEADER_BYTES);
         }
     }
 }
 
 async fn receive_heartbeats(peers: Arc<Peers>, udp: Arc<UdpSocket>) {
-    let mut buffer = vec![0; MAX_OPEN];
+    let mut buffer = vec![0; MAX_OPEN_BYTES];
     loop {
         let Ok((size, from)) = udp.recv_from(&mut buffer).await else {
             continue;
@@ -274,7 +275,7 @@
         let beat = match decode_versioned::<Beat>(&buffer[..size]) {
             Ok(beat) => beat,
             Err(error) => {
-                peers.note_unreadable(from, &error);
+                peers.count_malformed(from, &error);
                 continue;
             }
         };
@@ -293,8 +294,8 @@
 
 fn log_answer(to: HostId, answer: &Beat) {
     match answer {
-        Beat::RequestFull(_) => log::info!("member: host {to} is not known, asked for the whole"),
-        Beat::Full(_) => log::info!("member: introduced to host {to}"),
+        Beat::RequestFull(_) => log::info!("member: unknown host {to}, requested a full heartbeat"),
+        Beat::Full(_) => log::info!("member: sent a full heartbeat to host {to}"),
         Beat::Brief { .. } => {}
     }
 }
@@ -311,7 +312,7 @@
     loop {
         match tcp.accept().await {
             Ok((stream, from)) => {
-                tokio::spawn(greet(peers.clone(), stream, from, sender.clone()));
+                tokio::spawn(read_open_frame(peers.clone(), stream, from, sender.clone()));
             }
             Err(error) => {
                 log::warn!("peer: accept failed: {error}");
@@ -321,31 +322,31 @@
     }
 }
 
-async fn greet(
+async fn read_open_frame(
     peers: Arc<Peers>,
     stream: TcpStream,
     from: SocketAddr,
     sender: mpsc::Sender<Incoming>,
 ) {
-    // Without it answers wait for the peer's delayed acknowledgements.
+    // Otherwise answers are held back until the peer's delayed acknowledgements arrive.
     let _ = stream.set_nodelay(true);
     let (read, writer) = stream.into_split();
-    let mut reader = FrameReader::with_limit(BufReader::new(read), MAX_OPEN);
-    let opening = async { decode_versioned::<Open>(&reader.next_payload().await?) };
-    let opened = tokio::time::timeout(OPEN_TIMEOUT, opening).await;
-    match opened {
+    let mut reader = FrameReader::with_limit(BufReader::new(read), MAX_OPEN_BYTES);
+    let reading = async { decode_versioned::<Open>(&reader.next_payload().await?) };
+    let result = tokio::time::timeout(OPEN_TIMEOUT, reading).await;
+    match result {
         Ok(Ok(open)) => {
             if open.sender().is_some_and(|host| peers.links.is_cut_from(host)) {
                 return;
             }
-            reader.set_limit(crate::wire::MAX_FRAME);
-            // The process is stopping when nobody takes it.
+            reader.set_limit(crate::wire::MAX_FRAME_BYTES);
+            // Sending fails only while the process is stopping.
             let _ = sender.send(Incoming { open, reader, writer }).await;
         }
         Ok(Err(error)) => {
-            peers.note_other_protocol(&error);
+            peers.count_other_protocol(&error);
             log::warn!("peer: refused a connection from {from}: {error}");
         }
-        Err(_) => log::warn!("peer: closed a silent connection from {from}"),
+        Err(_) => log::warn!("peer: closed a connection from {from} without an opening frame"),
     }
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,5 +1,5 @@
-//! Rehearsed cuts: an operator may stop what this host sends to or hears from
-//! others, where its settings allow rehearsals.
+//! Rehearsed cuts: an operator may block what this host sends to or receives from others,
+//! where its settings allow rehearsals.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,10 +7,10 @@
 
 use crate::wire::HostId;
 
-/// How often a paused connection looks whether its link is back.
-const POLL: Duration = Duration::from_millis(20);
+/// The interval at which a paused connection checks whether the cut is over.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Which links are cut.
+/// The links that are cut.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Cuts {
     to: BTreeSet<HostId>,
@@ -23,8 +23,8 @@
 pub struct Links(Arc<Mutex<Cuts>>);
 
 impl Links {
-    /// Replaces all cuts: hosts not sent to, hosts not heard, data halls whose
-    /// endpoints are out of reach.
+    /// Replaces all cuts: hosts to which nothing is sent, hosts from which nothing is
+    /// received, and data halls whose endpoints are out of reach.
     pub fn set(&self, to: Vec<HostId>, from: Vec<HostId>, halls: Vec<String>) {
         let cuts = Cuts {
             to: to.into_iter().collect(),
@@ -38,32 +38,32 @@
         f(&self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Whether nothing is sent to `host`.
+    /// Whether sending to `host` is cut.
     pub fn is_cut_to(&self, host: HostId) -> bool {
-        self.read(|c| c.to.contains(&host))
+        self.read(|cuts| cuts.to.contains(&host))
     }
 
-    /// Whether nothing is heard from `host`.
+    /// Whether receiving from `host` is cut.
     pub fn is_cut_from(&self, host: HostId) -> bool {
-        self.read(|c| c.from.contains(&host))
+        self.read(|cuts| cuts.from.contains(&host))
     }
 
     /// Whether the endpoints of `hall` are out of reach.
     pub fn is_hall_cut(&self, hall: &str) -> bool {
-        self.read(|c| c.halls.contains(hall))
+        self.read(|cuts| cuts.halls.contains(hall))
     }
 
-    /// Waits while nothing is sent to `host`, as a stalled connection would.
+    /// Waits while sending to `host` is cut, as on a stalled connection.
     pub async fn wait_until_clear_to(&self, host: HostId) {
         while self.is_cut_to(host) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits while nothing is heard from `host`.
+    /// Waits while receiving from `host` is cut.
     pub async fn wait_until_clear_from(&self, host: HostId) {
         while self.is_cut_from(host) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,4 +1,4 @@
-//! Hosts of two releases beside each other.
+//! Hosts of two releases in one fleet.
 
 use std::net::SocketAddr;
 
@@ -22,15 +22,15 @@
     })
 }
 
-/// While a fleet is restarted host by host, those of the release before still say what
-/// they said: nobody believes what it would mean in the new release.
+/// During a rolling restart, hosts of the previous release still send messages in its
+/// encoding. Decoded by the new release they would mean something else, so they are rejected.
 #[tokio::test]
-async fn a_host_of_another_release_is_not_believed_and_its_connections_are_refused() {
+async fn heartbeats_and_connections_of_another_protocol_version_are_rejected() {
     let (peers, _incoming) = start_peers(Role::Control, 71, vec![]).await;
     let older = UdpSocket::bind(peer_address(72)).await.unwrap();
     let unversioned = postcard::to_stdvec(&beat(peer_address(72))).unwrap();
-    let later = [&[PROTOCOL + 1][..], &unversioned].concat();
-    for datagram in [&unversioned, &later] {
+    let newer = [&[PROTOCOL + 1][..], &unversioned].concat();
+    for datagram in [&unversioned, &newer] {
         older.send_to(datagram, peers.address).await.unwrap();
     }
     wait_until(|| peers.other_protocols() == 2).await;
@@ -39,6 +39,6 @@
     let open = postcard::to_stdvec(&Open::Identify).unwrap();
     let mut connection = TcpStream::connect(peers.address).await.unwrap();
     write_payload(&mut connection, &open).await.unwrap();
-    assert_eq!(connection.read(&mut [0; 1]).await.unwrap(), 0, "closed without a word");
+    assert_eq!(connection.read(&mut [0; 1]).await.unwrap(), 0, "closed without an answer");
     assert_eq!(peers.other_protocols(), 3);
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,9 +1,9 @@
-//! What processes of the fleet say to each other, and how it is framed.
+//! Messages between processes of the fleet, and their framing.
 //!
-//! Heartbeats travel as single UDP datagrams. Everything else travels over TCP
-//! as frames: a four-byte big-endian length, then one postcard value. A frame
-//! holds a batch of messages, so that many small ones share its header. Datagrams and the
-//! first frame of a connection name the version of the protocol ([`PROTOCOL`]).
+//! Heartbeats are sent as single UDP datagrams. Everything else is sent over TCP as
+//! frames: a four-byte big-endian length, then one postcard value. A frame holds a batch of
+//! messages, so that many small ones share its header. Datagrams and the first frame of a
+//! connection start with the protocol version ([`PROTOCOL`]).
 
 mod frame;
 mod message;
@@ -12,9 +12,9 @@
 mod tests;
 
 pub use frame::{
-    BatchSender, BatchWriter, FrameReader, KEEP_ALIVE_INTERVAL, MAX_FRAME, QueuedMessage,
-    SILENCE_TIMEOUT, SentBytes, TCP_HEADER, Traffic, UDP_HEADER, keep_alive, write_frame,
-    write_keep_alive, write_payload,
+    BatchSender, BatchWriter, FrameReader, KEEP_ALIVE_INTERVAL, MAX_FRAME_BYTES, QueuedMessage,
+    SILENCE_TIMEOUT, SentBytes, TCP_HEADER_BYTES, Traffic, UDP_HEADER_BYTES, keep_alive,
+    write_frame, write_keep_alive, write_payload,
 };
 pub use message::*;
 pub use protocol::{PROTOCOL, decode_versioned, encode_versioned};
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -1,9 +1,9 @@
 //! Framing over TCP, with batching, byte counts and keep-alives.
 //!
-//! A connection may be dead without either end being told: whoever only reads on it, or
-//! only writes, would go on for ever. So the side that took a connection says something
-//! every [`KEEP_ALIVE_INTERVAL`], an empty frame if there is nothing else, and the side that opened
-//! it gives it up after [`SILENCE_TIMEOUT`].
+//! A connection may be dead without either end being notified: an end that only reads, or
+//! only writes, would never find out. So the side that accepted a connection sends something
+//! every [`KEEP_ALIVE_INTERVAL`], an empty frame if there is nothing else, and the side that
+//! opened it gives it up after [`SILENCE_TIMEOUT`].
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -19,43 +19,44 @@
 
 use crate::error::{Error, Result};
 
-/// The largest frame a peer may send, in bytes.
-pub const MAX_FRAME: usize = 64 << 20;
-/// Bytes of IP and TCP header counted for each frame.
-pub const TCP_HEADER: u64 = 40;
-/// Bytes of IP and UDP header counted for each datagram.
-pub const UDP_HEADER: u64 = 28;
-/// The shortest time between two frames of one batch writer.
+/// The largest payload of a frame that is accepted from a known peer, in bytes.
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
+/// Bytes of IP and TCP headers counted for each frame.
+pub const TCP_HEADER_BYTES: u64 = 40;
+/// Bytes of IP and UDP headers counted for each datagram.
+pub const UDP_HEADER_BYTES: u64 = 28;
+/// The minimum time between two frames of one batch writer.
 const BATCH_INTERVAL: Duration = Duration::from_millis(2);
-/// The longest time for which the side that took a connection says nothing. At 340
-/// routers a control host sends 15 KB/s for it while nothing changes.
+/// The longest time for which the side that accepted a connection sends nothing. At 340
+/// routers, the keep-alives of a control host amount to 15 KB/s while nothing changes.
 pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Silence after which the side that opened a connection gives it up: one keep-alive may
-/// be missed and the next come 0.2 s late, by a retransmission or a busy processor. A dead connection is replaced
-/// before the 3 s are over after which callers count on what is acknowledged.
+/// The time without any frame after which the side that opened a connection gives it up.
+/// One keep-alive may be lost and the next arrive 0.2 s late, because of a retransmission or
+/// a busy processor. A dead connection is still replaced within the 3 s after which callers
+/// rely on what was acknowledged.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_200);
 const LENGTH_BYTES: usize = 4;
 
-/// What bytes between hosts are sent for.
+/// The purpose of bytes sent between hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Traffic {
     /// Heartbeats.
     Heartbeats,
     /// Messages of the agreement.
     Agreement,
-    /// Routing tables and their versions, who leads, and the numbers of routers.
+    /// Routing tables and their versions, the leader, router counts, and all else in feeds.
     Routing,
-    /// Endpoints that changed.
+    /// Changes of endpoints.
     Endpoints,
-    /// Requests for places, and places.
+    /// Placement requests and their answers.
     Placement,
-    /// All else.
+    /// Everything else.
     #[default]
     Other,
 }
 
 impl Traffic {
-    /// Every kind, in the order of the counters.
+    /// All kinds, in the order of the counters.
     pub const ALL: [Traffic; 6] = [
         Traffic::Heartbeats,
         Traffic::Agreement,
@@ -65,7 +66,7 @@
         Traffic::Other,
     ];
 
-    /// The name in metrics.
+    /// The name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Traffic::Heartbeats => "heartbeats",
@@ -78,7 +79,7 @@
     }
 }
 
-/// Counts bytes sent to peers, headers included, by what they are sent for.
+/// Counts the bytes sent to peers, headers included, by purpose.
 #[derive(Clone, Debug, Default)]
 pub struct SentBytes {
     counters: Arc<[AtomicU64; Traffic::ALL.len()]>,
@@ -86,28 +87,28 @@
 }
 
 impl SentBytes {
-    /// The same counters, for bytes that are sent for `traffic`.
+    /// A handle to the same counters that adds to the one of `traffic`.
     pub fn of(&self, traffic: Traffic) -> SentBytes {
         SentBytes { counters: self.counters.clone(), traffic }
     }
 
-    /// Adds `bytes`.
+    /// Adds `bytes` to the counter of this handle's traffic.
     pub fn add(&self, bytes: u64) {
         self.counters[self.traffic as usize].fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// The bytes counted so far.
+    /// The bytes counted so far, for all kinds of traffic.
     pub fn get(&self) -> u64 {
         self.counters.iter().map(|counter| counter.load(Ordering::Relaxed)).sum()
     }
 
-    /// The bytes counted so far for this traffic alone.
+    /// The bytes counted so far for this handle's traffic.
     pub fn get_for_traffic(&self) -> u64 {
         self.counters[self.traffic as usize].load(Ordering::Relaxed)
     }
 }
 
-/// Writes one value as one frame and returns the bytes written.
+/// Writes a value as one frame. Returns the bytes sent, headers included.
 pub async fn write_frame<W, T>(writer: &mut W, value: &T) -> Result<u64>
 where
     W: AsyncWrite + Unpin,
@@ -117,23 +118,23 @@
     write_payload(writer, &payload).await
 }
 
-/// Writes an encoded value as one frame and returns the bytes written.
+/// Writes an encoded value as one frame. Returns the bytes sent, headers included.
 pub async fn write_payload<W: AsyncWrite + Unpin>(writer: &mut W, payload: &[u8]) -> Result<u64> {
     let mut frame = Vec::with_capacity(LENGTH_BYTES + payload.len());
     frame.extend_from_slice(&(payload.len() as u32).to_be_bytes());
     frame.extend_from_slice(payload);
     let written = writer.write_all(&frame).await;
-    written.map_err(|source| net("write to a peer", source))?;
-    Ok(frame.len() as u64 + TCP_HEADER)
+    written.map_err(|source| net_error("write to a peer", source))?;
+    Ok(frame.len() as u64 + TCP_HEADER_BYTES)
 }
 
-/// Says that the connection works, where there is nothing else to say.
+/// Writes a keep-alive, an empty frame. Returns the bytes sent, headers included.
 pub async fn write_keep_alive<W: AsyncWrite + Unpin>(writer: &mut W) -> Result<u64> {
     write_payload(writer, &[]).await
 }
 
-/// Writes a keep-alive every [`KEEP_ALIVE_INTERVAL`], on a connection on which nothing else is
-/// written, until it ends.
+/// Writes a keep-alive every [`KEEP_ALIVE_INTERVAL`] until the connection ends. For a
+/// connection on which nothing else is written.
 pub async fn keep_alive<W: AsyncWrite + Unpin>(mut writer: W, sent: SentBytes) -> Result<()> {
     loop {
         tokio::time::sleep(KEEP_ALIVE_INTERVAL).await;
@@ -141,7 +142,7 @@
     }
 }
 
-/// Reads frames from one connection; keep-alives are passed over.
+/// Reads frames from one connection.
 #[derive(Debug)]
 pub struct FrameReader<R> {
     inner: R,
@@ -149,22 +150,22 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// A reader that refuses frames above [`MAX_FRAME`].
+    /// A reader that rejects frames of more than [`MAX_FRAME_BYTES`] bytes.
     pub fn new(inner: R) -> Self {
-        Self::with_limit(inner, MAX_FRAME)
+        Self::with_limit(inner, MAX_FRAME_BYTES)
     }
 
-    /// A reader that refuses frames above `limit` bytes.
+    /// A reader that rejects frames of more than `limit` bytes.
     pub fn with_limit(inner: R, limit: usize) -> Self {
         FrameReader { inner, limit }
     }
 
-    /// Raises or lowers the limit once the peer is known.
+    /// Replaces the limit, in bytes, for the frames that follow.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// From now on a read fails with [`Error::Silent`] once nothing has come for
+    /// The same reader, whose reads fail with [`Error::Silent`] once nothing has arrived for
     /// [`SILENCE_TIMEOUT`].
     pub fn with_silence_timeout(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
         let mut inner = TimeoutReader::new(self.inner);
@@ -172,25 +173,27 @@
         FrameReader { inner: Box::pin(inner), limit: self.limit }
     }
 
-    /// The stream behind the last value that was read.
+    /// The stream, positioned after the last frame that was read.
     pub fn into_inner(self) -> R {
         self.inner
     }
 
-    /// The next value. Fails when the peer has closed, or sends too much or
-    /// something else. Not cancel-safe: own the reader in one task.
+    /// Reads the next value, skipping keep-alives. Fails if the peer has closed the
+    /// connection, exceeds the limit, or sends a value of another type. Not cancel-safe: own
+    /// the reader in one task.
     pub async fn next<T: DeserializeOwned>(&mut self) -> Result<T> {
         decode(&self.next_payload().await?)
     }
 
-    /// The next value, or none for a keep-alive; the same holds as for
+    /// Reads the next value, or `None` for a keep-alive. Errors and cancellation are as for
     /// [`FrameReader::next`].
     pub async fn next_or_keep_alive<T: DeserializeOwned>(&mut self) -> Result<Option<T>> {
         let payload = self.next_frame().await?;
         payload.map(|payload| decode(&payload)).transpose()
     }
 
-    /// The next value in its encoded form; the same holds as for [`FrameReader::next`].
+    /// Reads the next value without decoding it. Errors and cancellation are as for
+    /// [`FrameReader::next`].
     pub async fn next_payload(&mut self) -> Result<Vec<u8>> {
         loop {
             if let Some(payload) = self.next_frame().await? {
@@ -199,11 +202,11 @@
         }
     }
 
-    /// The next frame; none for a keep-alive.
+    /// Reads the payload of the next frame; `None` for a keep-alive.
     async fn next_frame(&mut self) -> Result<Option<Vec<u8>>> {
         let mut length = [0; LENGTH_BYTES];
         let read = self.inner.read_exact(&mut length).await;
-        read.map_err(not_read)?;
+        read.map_err(read_error)?;
         let size = u32::from_be_bytes(length) as usize;
         if size == 0 {
             return Ok(None);
@@ -214,7 +217,7 @@
         }
         let mut payload = Vec::new();
         let body = (&mut self.inner).take(size as u64).read_to_end(&mut payload).await;
-        body.map_err(not_read)?;
+        body.map_err(read_error)?;
         Ok(Some(payload))
     }
 }
@@ -223,34 +226,34 @@
     postcard::from_bytes(payload).map_err(|source| Error::Frame { source })
 }
 
-/// A message and how long it may wait for others to share its frame.
+/// A message in the queue of a [`BatchWriter`].
 #[derive(Clone, Debug)]
 pub struct QueuedMessage<T> {
     /// The message.
     pub message: T,
-    /// Its max_delay; zero to go at once.
+    /// How long it may wait for other messages to share its frame; zero to be sent at once.
     pub max_delay: Duration,
 }
 
 impl<T> From<T> for QueuedMessage<T> {
-    /// A message that goes at once.
+    /// A message to be sent at once.
     fn from(message: T) -> Self {
         QueuedMessage { message, max_delay: Duration::ZERO }
     }
 }
 
-/// Where messages for a [`BatchWriter`] go.
+/// Queues messages for a [`BatchWriter`].
 pub type BatchSender<T> = mpsc::UnboundedSender<QueuedMessage<T>>;
 
-/// What a [`BatchWriter`] writes next.
+/// The next step of a [`BatchWriter`].
 enum Next<T> {
     Message(QueuedMessage<T>),
     KeepAlive,
     Closed,
 }
 
-/// Sends messages in batches: a message waits as long as the least patient one
-/// with it, and after a frame the next waits a moment.
+/// Writes messages in batches. A batch is sent once the maximum delay of any of its messages
+/// has elapsed, and no sooner than the writer's interval after the previous frame.
 #[derive(Debug)]
 pub struct BatchWriter<T> {
     messages: mpsc::UnboundedReceiver<QueuedMessage<T>>,
@@ -260,29 +263,28 @@
 }
 
 impl<T: Serialize> BatchWriter<T> {
-    /// A writer fed through the returned sender; `sent` counts its bytes.
+    /// A writer of the messages queued with the returned sender; `sent` counts its bytes.
     pub fn new(sent: Option<SentBytes>) -> (BatchSender<T>, Self) {
         let (sender, messages) = mpsc::unbounded_channel();
         let interval = BATCH_INTERVAL;
         (sender, BatchWriter { messages, sent, interval, keeps_alive: false })
     }
 
-    /// A writer that sends whatever there is at once, without a pause between
-    /// frames.
+    /// A writer without a minimum time between frames.
     pub fn immediate(sent: Option<SentBytes>) -> (BatchSender<T>, Self) {
         let (sender, writer) = Self::new(sent);
         (sender, BatchWriter { interval: Duration::ZERO, ..writer })
     }
 
-    /// The same writer, which says something every [`KEEP_ALIVE_INTERVAL`]: for the side that took
-    /// the connection.
+    /// The same writer, which also sends a keep-alive whenever no message was queued for
+    /// [`KEEP_ALIVE_INTERVAL`]. For the side that accepted the connection.
     pub fn with_keep_alives(self) -> Self {
         BatchWriter { keeps_alive: true, ..self }
     }
 
-    /// Writes until the sender is dropped or the connection breaks. Each frame
-    /// waits for `clear`, with which a cut link is rehearsed.
-    pub async fn run<W, F>(mut self, mut writer: W, clear: impl Fn() -> F) -> Result<()>
+    /// Writes until the sender is dropped or the connection breaks. Each frame waits for
+    /// `wait_until_clear`, which blocks while a cut of the link is rehearsed.
+    pub async fn run<W, F>(mut self, mut writer: W, wait_until_clear: impl Fn() -> F) -> Result<()>
     where
         W: AsyncWrite + Unpin,
         F: Future<Output = ()>,
@@ -290,12 +292,12 @@
         loop {
             let bytes = match self.next().await {
                 Next::Message(first) => {
-                    let batch = self.gather(first).await;
-                    clear().await;
+                    let batch = self.collect_batch(first).await;
+                    wait_until_clear().await;
                     write_frame(&mut writer, &batch).await?
                 }
                 Next::KeepAlive => {
-                    clear().await;
+                    wait_until_clear().await;
                     write_keep_alive(&mut writer).await?
                 }
                 Next::Closed => break,
@@ -308,7 +310,7 @@
             }
         }
         let closed = writer.shutdown().await;
-        closed.map_err(|source| net("close a connection", source))
+        closed.map_err(|source| net_error("close a connection", source))
     }
 
     async fn next(&mut self) -> Next<T> {
@@ -323,21 +325,21 @@
         }
     }
 
-    /// What goes into one frame with `first`.
-    async fn gather(&mut self, first: QueuedMessage<T>) -> Vec<T> {
-        let mut until = Instant::now() + first.max_delay;
+    /// Collects the messages that share a frame with `first`.
+    async fn collect_batch(&mut self, first: QueuedMessage<T>) -> Vec<T> {
+        let mut send_at = Instant::now() + first.max_delay;
         let mut batch = vec![first.message];
         loop {
             while let Ok(more) = self.messages.try_recv() {
-                until = until.min(Instant::now() + more.max_delay);
+                send_at = send_at.min(Instant::now() + more.max_delay);
                 batch.push(more.message);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= send_at {
                 return batch;
             }
-            match tokio::time::timeout_at(until, self.messages.recv()).await {
+            match tokio::time::timeout_at(send_at, self.messages.recv()).await {
                 Ok(Some(more)) => {
-                    until = until.min(Instant::now() + more.max_delay);
+                    send_at = send_at.min(Instant::now() + more.max_delay);
                     batch.push(more.message);
                 }
                 Ok(None) | Err(_) => return batch,
@@ -346,14 +348,14 @@
     }
 }
 
-fn not_read(source: std::io::Error) -> Error {
+fn read_error(source: std::io::Error) -> Error {
     match source.kind() {
         std::io::ErrorKind::TimedOut => Error::Silent,
-        _ => net("read from a peer", source),
+        _ => net_error("read from a peer", source),
     }
 }
 
-fn net(what: &str, source: std::io::Error) -> Error {
+fn net_error(what: &str, source: std::io::Error) -> Error {
     let what = what.to_string();
     Error::Net { what, source }
 }
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -1,4 +1,4 @@
-//! Typed messages between processes.
+//! The messages between processes.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::agree::GroupMember;
 use crate::config::{Config, CustomerId, Delta, EndpointId, HallSet, ServiceId};
 
-/// Number of a host: from its settings, or from its IPv4 address.
+/// The number of a host, from its settings or from its IPv4 address.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -15,12 +15,12 @@
 pub struct HostId(pub u32);
 
 impl HostId {
-    /// The number of a host that is known by its address alone.
+    /// The number of a host that is identified by its address alone.
     pub fn of(address: std::net::Ipv4Addr) -> HostId {
         HostId(u32::from(address))
     }
 
-    /// The address of a host that is known by it.
+    /// The address of a host that is identified by its address.
     pub fn address(self) -> std::net::Ipv4Addr {
         self.0.into()
     }
@@ -32,62 +32,62 @@
     }
 }
 
-/// What a process of the fleet does.
+/// The role of a process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes requests from callers.
+    /// Serves requests of callers.
     Router,
-    /// Keeps the agreed configuration.
+    /// Stores the agreed configuration.
     Control,
 }
 
-/// What a host says of itself in every heartbeat.
+/// The state that a host reports about itself in a full heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The host.
+    /// The sender.
     pub host: HostId,
-    /// Grows with every start of the process (milliseconds since the epoch).
+    /// When the process started, in milliseconds since the epoch; increases with every start.
     pub incarnation: u64,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Its data hall's name.
+    /// The name of its data hall.
     pub hall: String,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peer: SocketAddr,
-    /// Where operators reach it.
+    /// The address for operators.
     pub operator: SocketAddr,
-    /// The configuration version in force there.
+    /// The configuration version in force on the sender.
     pub version: u64,
-    /// Whether it is in a planned stop.
+    /// Whether the sender is draining for a planned stop.
     pub draining: bool,
-    /// Another member's address, so that newcomers spread.
+    /// The address of another member, so that new members become known to all.
     pub also: Option<SocketAddr>,
 }
 
-/// A heartbeat datagram. Most are brief; the whole is said to newcomers, now and
-/// then, and to whoever asks for it.
+/// A heartbeat datagram. Most are brief; a full one is sent to new members, periodically,
+/// and on request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Beat {
-    /// All that a host says of itself.
+    /// All fields.
     Full(Heartbeat),
-    /// What changes.
+    /// Only the fields that change.
     Brief {
-        /// The host.
+        /// The sender.
         host: HostId,
-        /// Its incarnation.
+        /// The incarnation of the sender.
         incarnation: u64,
-        /// The configuration version in force there.
+        /// The configuration version in force on the sender.
         version: u64,
-        /// Whether it is in a planned stop.
+        /// Whether the sender is draining for a planned stop.
         draining: bool,
     },
-    /// The answer to a brief heartbeat that says nothing to its receiver, which has
-    /// not heard the whole from that start of the sender: who asks for it.
+    /// Requests a full heartbeat: the answer to a brief one from a sender or incarnation of
+    /// which no full heartbeat was received. Contains the full heartbeat of the requester.
     RequestFull(Heartbeat),
 }
 
 impl Beat {
-    /// Who sent it.
+    /// The sender.
     pub fn host(&self) -> HostId {
         match self {
             Beat::Full(beat) | Beat::RequestFull(beat) => beat.host,
@@ -96,7 +96,7 @@
     }
 }
 
-/// The first frame on a TCP connection between hosts: what it is for.
+/// The first frame on a TCP connection between hosts; names its purpose.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Open {
     /// A router attaches to the dispatcher of one service.
@@ -105,53 +105,54 @@
         router: HostId,
         /// The service.
         service: ServiceId,
-        /// Grows with every connection of this router.
+        /// Number of the session; increases with every connection of this router.
         session: u64,
     },
-    /// Asks once for the configuration after `held_version`.
+    /// Requests, once, the changes of the configuration since `held_version`.
     Pull {
-        /// Who asks.
+        /// The requester.
         host: HostId,
-        /// What it has; 0 for nothing.
+        /// The configuration version that it holds; 0 for none.
         held_version: u64,
     },
-    /// A control host sends agreement messages.
+    /// A control host sends messages of the agreement.
     Agree {
-        /// Who sends.
+        /// The sender.
         host: HostId,
-        /// Where answers go, also from stores that know no group yet.
+        /// The address for answers; stores that belong to no group yet answer there too.
         peer: SocketAddr,
     },
-    /// Asks which store a control host holds, before the group is founded.
+    /// Asks which store a control host holds, before the group is bootstrapped.
     Identify,
-    /// A store asks to belong to the group.
+    /// A store requests to join the group.
     Join(GroupMember),
-    /// A router asks the placer of a control host where requests go.
+    /// A router requests placements from the placer of a control host.
     Place {
         /// The router.
         router: HostId,
-        /// Grows with every connection of this router.
+        /// Number of the session; increases with every connection of this router.
         session: u64,
     },
-    /// A router or control host wants to be told of changes.
+    /// A router or control host subscribes to the feed of a control host.
     Feed {
-        /// Who asks.
+        /// The subscriber.
         host: HostId,
     },
-    /// A router behind its work hands a caller's connection over; its bytes follow the
-    /// answer.
+    /// An overloaded router hands over a caller's connection; the caller's bytes follow
+    /// after the answer.
     Caller {
         /// The router.
         router: HostId,
-        /// The version of its routing; the other must hold one at least as new.
+        /// The version of its routing table; the receiver must hold it or a later one.
         version: u64,
     },
-    /// A router that passed an answer on asks the one that served it which endpoints leave.
+    /// A router that relayed an answer asks the router that served it which endpoints are
+    /// leaving.
     Leaving {
         /// The router.
         router: HostId,
     },
-    /// A router sends run-once claims; answers come back on the connection.
+    /// A router sends run-once claims; answers return on the same connection.
     Claims {
         /// The router.
         router: HostId,
@@ -159,7 +160,7 @@
 }
 
 impl Open {
-    /// The host that opened the connection, where it says so.
+    /// The host that opened the connection, where the frame names it.
     pub fn sender(&self) -> Option<HostId> {
         match self {
             Open::Dispatch { router, .. } | Open::Claims { router } => Some(*router),
@@ -176,26 +177,26 @@
 /// The answer to [`Open::Pull`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PullResponse {
-    /// The asker has the newest version known here.
+    /// The requester holds the newest version known to the sender.
     Current,
-    /// The steps from the asker's version on.
+    /// The changes since the requester's version, in order.
     Deltas(Vec<Delta>),
-    /// The whole, when the asker is too far behind for deltas.
+    /// The complete configuration, for a requester too far behind for deltas.
     Snapshot(Box<Config>),
 }
 
-/// A request waiting at a router, as its dispatcher sees it.
+/// A request that is queued at a router and asks its dispatcher for a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantRequest {
     /// Number of the request at its router.
     pub seq: u64,
-    /// Whose it is.
+    /// Its customer.
     pub customer: CustomerId,
-    /// Units already certain, such as those of the prompt.
+    /// Units known in advance, such as those of the prompt.
     pub input: u32,
     /// Milliseconds within which it must start.
     pub start_within_ms: u32,
-    /// Hashes of ever longer prefixes of the prompt.
+    /// Hashes of prefixes of the prompt, in order of increasing length.
     pub prefix: Vec<u32>,
 }
 
@@ -204,40 +205,40 @@
 pub enum Completion {
     /// The endpoint answered.
     Answered,
-    /// The endpoint could not be reached or broke off.
+    /// The endpoint could not be reached, or its answer ended early.
     Failed,
     /// The grant was not used.
     Unused,
 }
 
-/// What a router tells a dispatcher.
+/// A message from a router to a dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToDispatcher {
-    /// Starts a session; replaces all that earlier sessions of the router said.
+    /// Starts a session; discards the state from earlier sessions of the router.
     Join {
         /// Data halls whose endpoints the router can reach.
         reach: HallSet,
-        /// Whether another dispatcher served these requests before.
+        /// Whether another dispatcher handled these requests before.
         takeover: bool,
-        /// Customers' last known leads over the least served, in virtual units.
+        /// The last known lead of each customer over the least served one, in virtual units.
         leads: Vec<(CustomerId, u64)>,
     },
-    /// The data halls in reach have changed.
+    /// The data halls whose endpoints the router can reach have changed.
     Reach(HallSet),
-    /// A request wants to run.
+    /// A queued request asks for a grant.
     GrantRequest(GrantRequest),
     /// A request granted by an earlier dispatcher is running.
     Running {
         /// Number of the request.
         seq: u64,
-        /// Whose it is.
+        /// Its customer.
         customer: CustomerId,
-        /// Where it runs.
+        /// The endpoint on which it runs.
         endpoint: EndpointId,
         /// Units used so far.
         units: u32,
     },
-    /// A running request has used more than was predicted.
+    /// A running request has used more units than predicted.
     Progress {
         /// Number of the request.
         seq: u64,
@@ -248,55 +249,55 @@
     Done {
         /// Number of the request.
         seq: u64,
-        /// Units used in all.
+        /// Units used in total.
         units: u32,
         /// How it ended.
         completion: Completion,
     },
-    /// An endpoint asked this router for rest.
+    /// An endpoint requested a rest from this router.
     Rest {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Milliseconds that are left of it.
+        /// Milliseconds until the rest ends.
         time_ms: u32,
     },
-    /// An endpoint told this router that it leaves, or is back after that.
+    /// An endpoint announced to this router that it is leaving, or has returned since.
     Leaving {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Whether it leaves.
+        /// Whether it is leaving.
         is_leaving: bool,
     },
-    /// A waiting request was given up.
+    /// A queued request was cancelled.
     Cancel {
         /// Number of the request.
         seq: u64,
-        /// Whose it is.
+        /// Its customer.
         customer: CustomerId,
     },
 }
 
-/// Why a request will not be served now.
+/// Why a request is refused for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefuseReason {
-    /// The customer has as many requests waiting as it may.
+    /// The customer has the maximum number of requests queued.
     QueueFull,
-    /// It could not start before its deadline.
+    /// The request cannot start before its deadline.
     DeadlineUnmet,
-    /// No endpoint in reach serves it.
+    /// No reachable endpoint serves the request.
     NoEndpoint,
-    /// Each endpoint in reach has asked for rest until after its deadline.
+    /// Every reachable endpoint is resting until after the deadline of the request.
     EndpointsRest,
 }
 
-/// What a dispatcher tells a router.
+/// A message from a dispatcher to a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromDispatcher {
     /// The request may run now.
     Grant {
         /// Number of the request.
         seq: u64,
-        /// Where to run it.
+        /// The endpoint to run it on.
         endpoint: EndpointId,
         /// Units charged in advance.
         charged: u32,
@@ -307,11 +308,12 @@
     Refuse {
         /// Number of the request.
         seq: u64,
-        /// Why.
+        /// The reason.
         reason: RefuseReason,
-        /// Milliseconds after which to come back.
+        /// Milliseconds after which the caller may retry.
         retry_after_ms: u32,
-        /// Milliseconds during which the router refuses the customer by itself.
+        /// Milliseconds for which the router refuses further requests of the customer without
+        /// asking the dispatcher.
         hold_ms: u32,
     },
 }
--- a/src/wire/protocol.rs
+++ b/src/wire/protocol.rs
@@ -1,21 +1,24 @@
-//! The version of what processes say to each other, so that a release that speaks
-//! otherwise is told apart and never misread.
+//! The version of the protocol between processes, so that messages of an incompatible
+//! release are rejected instead of being misread.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::error::{Error, Result};
 
-/// What this release speaks. It rises with every change of a message, and stays above
-/// the numbers with which messages themselves begin.
+/// The protocol version of this release. It is incremented with every change of a message.
+/// It stays above the numbers with which unversioned messages start, so that these are told
+/// apart.
 pub const PROTOCOL: u8 = 0x85;
 
-/// A value behind the version, as datagrams and the first frame of a connection carry it.
+/// Encodes the protocol version, one byte, followed by `value`: the form of datagrams and of
+/// the first frame of a connection.
 pub fn encode_versioned<T: Serialize>(value: &T) -> Result<Vec<u8>> {
     postcard::to_stdvec(&(PROTOCOL, value)).map_err(|source| Error::Frame { source })
 }
 
-/// The value behind the version, if it is this release's.
+/// Decodes a value that follows the protocol version. Fails with [`Error::OtherProtocol`]
+/// where the version is not [`PROTOCOL`].
 pub fn decode_versioned<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     match bytes.split_first() {
         Some((&PROTOCOL, value)) => {
