--- a/src/feed.rs
+++ b/src/feed.rs
@@ -1,16 +1,16 @@
-//! What control hosts tell every router, and each other, as it changes: the
-//! routing in force, endpoints, and who leads.
+//! Feeds: control hosts publish changes of the fleet's state, such as the routing in force,
+//! endpoints and the leader, to every router and to each other.
 //!
-//! A subscriber keeps one connection to each control host that it knows. What it
-//! learns merges in any order, so a lost connection costs nothing but time. What is
-//! large is told by few: of a routing table every control host tells the version only,
-//! and a subscriber asks one of them for the table; endpoints are told by the control
-//! hosts that a subscriber has asked: two tell it all that they know, and every control
-//! host tells the others what endpoints said to itself ([`sources`]).
+//! A subscriber keeps one connection to each control host that it knows. Updates merge in any
+//! order, so a lost connection only delays them. Large updates come from few hosts: every
+//! control host announces the version of its routing table, and a subscriber requests the
+//! table from one of them. Endpoints are sent by the control hosts from which the subscriber
+//! has requested them: two send all that they know, and control hosts send each other the
+//! endpoints that registered with themselves ([`sources`]).
 
 mod cursor;
-mod following;
-mod news;
+mod feed_plan;
+mod host_reports;
 mod publish;
 mod sources;
 mod subscribe;
@@ -34,116 +34,118 @@
 pub use subscribe::Subscriptions;
 pub use subscribers::Subscribers;
 
-/// What a process keeps in step with what control hosts tell.
+/// The state of the fleet that feeds replicate from control hosts to other processes.
 #[derive(Clone, Debug, Default)]
 pub struct FleetState {
     /// The routing in force.
     pub documents: Arc<CurrentRouting>,
     /// The endpoints.
     pub registry: Arc<SharedRegistry>,
-    /// Releases that are rolled out.
+    /// The rollouts.
     pub rollouts: Arc<SharedRollouts>,
-    /// Requests that crash endpoints.
+    /// The requests that crash endpoints.
     pub quarantine: Arc<SharedQuarantine>,
 }
 
-/// One message of a feed.
+/// A message from a control host to a subscriber.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FeedMessage {
     /// The version of the routing table that the sender holds.
     RoutingVersion(u64),
-    /// A routing table that was agreed on, for a subscriber that asked.
+    /// An agreed routing table, for a subscriber that requested it.
     Routing {
-        /// Its version, so that who has it need not decode it again.
+        /// Its version, so that a subscriber that holds it need not decode it.
         version: u64,
-        /// The table, encoded once for all subscribers.
+        /// The encoded table, shared by all subscribers.
         encoded: Arc<[u8]>,
     },
-    /// Endpoints that changed, for a subscriber that asked to be told.
+    /// Endpoints that changed, for a subscriber that requested them.
     Endpoints {
-        /// Whose numbers `upto` is one of: the sender's start.
+        /// The start of the sender that numbered the changes; `upto` is valid for it only.
         numbering: u64,
-        /// Number of the last change contained.
+        /// Number of the last change that is contained.
         upto: u64,
-        /// Which changes up to it were told.
+        /// Which of the changes up to it are contained.
         scope: Scope,
-        /// The endpoints as they are now.
+        /// The current state of the endpoints.
         endpoints: Vec<Registration>,
     },
-    /// Endpoints that took work before the sender restarted and that it has not heard
-    /// since.
+    /// Endpoints that accepted requests before the sender restarted and have not registered
+    /// with it since.
     Remembered(Vec<Registration>),
-    /// How many routers the sender hears of.
+    /// The number of live routers that the sender knows.
     Routers(u32),
-    /// Routers of one data hall, for a subscriber that asked.
+    /// The routers of one data hall, for a subscriber that requested them.
     Neighbours(Vec<Neighbour>),
-    /// Who leads the agreement, as the sender knows it.
-    Leader(LeaderNews),
+    /// The leader of the agreement, as known to the sender.
+    Leader(LeaderUpdate),
     /// The data halls that operators have drained.
     DrainedHalls(DrainedHalls),
-    /// The roll-outs that operators have ordered.
+    /// The rollouts that operators have ordered.
     Rollouts(Rollouts),
-    /// What routers may send to releases that are rolled out, for a while; from the
-    /// leader only.
+    /// Time-limited grants of what routers may send to releases that are rolled out; sent by
+    /// the leader only.
     Grants(Grants),
-    /// Requests that are refused because they crash endpoints, as it changed.
+    /// Changes of the requests that are refused because they crash endpoints.
     Quarantine(QuarantineUpdate),
-    /// The answer to [`FeedRequest::Speak`].
-    Speaks {
-        /// What was asked.
-        waking: u64,
+    /// The answer to [`FeedRequest::Probe`].
+    ProbeAnswer {
+        /// The number from the probe.
+        stall: u64,
     },
 }
 
-/// Who leads the agreement, as a control host knows it.
+/// The leader of the agreement, as known to a control host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaderNews {
-    /// The term.
+pub struct LeaderUpdate {
+    /// The current term.
     pub term: u64,
-    /// The leader's host, where known.
+    /// The leader of the term, where known.
     pub leader: Option<HostId>,
-    /// Whether the sender has applied all that was accepted before that term; until then
-    /// its routing may be older than an acknowledged one.
+    /// Whether the sender has applied everything that was accepted before that term; until
+    /// then its routing may be older than an acknowledged one.
     pub has_caught_up: bool,
 }
 
-/// What a subscriber asks for.
+/// A message from a subscriber to a control host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedRequest {
-    /// The newest routing table.
+    /// Requests the newest routing table.
     Routing,
-    /// The routers of a data hall.
+    /// Requests the routers of a data hall.
     Neighbours {
         /// The data hall.
         hall: String,
     },
-    /// To be told of endpoints that changed, from now on.
+    /// Starts the updates of endpoints.
     Endpoints(EndpointsAfter),
-    /// To be told of endpoints no more.
+    /// Stops the updates of endpoints.
     NoEndpoints,
-    /// What a router saw of releases that are rolled out; for the leader.
+    /// What a router observed of releases that are rolled out; for the leader.
     RolloutReport(Report),
-    /// What a router saw of crashes; for the leader.
+    /// What a router observed of crashes; for the leader.
     CrashReport(CrashReport),
-    /// Endpoints told the subscriber in answers that they leave.
-    EndpointsLeave(Vec<EndpointStart>),
-    /// To say something: the subscriber stood still, and what it reads was said before.
-    Speak {
-        /// Tells the answer from one to an earlier question.
-        waking: u64,
+    /// Endpoints that announced to the subscriber, in answers, that they are leaving.
+    LeavingEndpoints(Vec<EndpointStart>),
+    /// Requests an answer at once: the subscriber was stalled, so the messages that it now
+    /// reads may have been sent long before.
+    Probe {
+        /// Number of the stall; tells the answer from that to an earlier probe.
+        stall: u64,
     },
 }
 
-/// Which changes of endpoints a subscriber wants to be told.
+/// The changes of endpoints that a subscriber requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointsAfter {
-    /// Whose numbers `change` is one of.
+    /// The start of the control host that numbered the changes; `change` is valid for it
+    /// only.
     pub numbering: u64,
-    /// The last change that it was told; 0 for none.
+    /// Number of the last change that it received; 0 for none.
     pub change: u64,
-    /// Which changes it wants.
+    /// Which changes are requested.
     pub scope: Scope,
-    /// Whether it wants to know of endpoints that had gone before.
+    /// Whether endpoints that had gone before the request are included.
     pub with_gone: bool,
 }
 
@@ -152,6 +154,6 @@
 pub struct Neighbour {
     /// The router.
     pub host: HostId,
-    /// Where peers reach it.
+    /// Its address for peers.
     pub peer: SocketAddr,
 }
--- a/src/feed/cursor.rs
+++ b/src/feed/cursor.rs
@@ -1,4 +1,4 @@
-//! How far a subscriber has been told of endpoints, without I/O.
+//! The position of a subscriber in the changes of endpoints, without I/O.
 
 use std::time::Duration;
 
@@ -7,65 +7,67 @@
 use super::EndpointsAfter;
 use crate::registry::{EndpointState, Registration, Scope, SharedRegistry};
 
-/// Endpoints in one message, some 10 KB: what a subscriber that reads slowly holds up.
-const MOST_ENDPOINTS: usize = 256;
-/// How long changes of endpoints gather before a subscriber is told again: thousands
-/// that register within a second come in twenty messages, not in thousands. Short
-/// beside the 2 s in which a leaving endpoint must get no new work.
-const GATHER: Duration = Duration::from_millis(50);
+/// The maximum number of endpoints in one message, which then takes some 10 KB: a subscriber
+/// that reads slowly delays all else in its feed for as long as it takes to read one.
+const MAX_ENDPOINTS_PER_MESSAGE: usize = 256;
+/// The minimum time between two updates of endpoints, in which changes are batched: thousands
+/// of registrations within a second are sent in twenty messages instead of thousands. It is
+/// short compared with the 2 s after which a leaving endpoint must get no new requests.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A place in the registry's changes.
+/// A position in the changes of the registry.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cursor {
-    /// The last change that was told.
-    told: u64,
-    /// Endpoints that went before this change are passed over.
-    gone_after: u64,
+    /// Number of the last change that was sent.
+    sent_upto: u64,
+    /// Endpoints that had gone up to this change are skipped.
+    skip_gone_upto: u64,
     scope: Scope,
-    /// When more may be told.
+    /// When the next update may be sent.
     not_before: Instant,
 }
 
 impl Cursor {
-    /// Where a subscriber goes on that knows all up to `after`.
+    /// The position from which a subscriber that holds the changes up to `after` continues.
     pub fn new(after: EndpointsAfter, numbering: u64, registry: &SharedRegistry) -> Cursor {
         let is_known = after.numbering == numbering;
-        let told = if is_known { after.change } else { 0 };
-        let gone_after = match after.with_gone || is_known {
+        let sent_upto = if is_known { after.change } else { 0 };
+        let skip_gone_upto = match after.with_gone || is_known {
             true => 0,
             false => registry.read(|r| r.last_change()),
         };
-        Cursor { told, gone_after, scope: after.scope, not_before: Instant::now() }
+        Cursor { sent_upto, skip_gone_upto, scope: after.scope, not_before: Instant::now() }
     }
 
-    /// Which changes are told.
+    /// Which changes are sent.
     pub fn scope(&self) -> Scope {
         self.scope
     }
 
-    /// When more may be told.
+    /// When the next update may be sent.
     pub fn not_before(&self) -> Instant {
         self.not_before
     }
 
-    /// Whether there is more to tell.
+    /// Whether there are changes to send.
     pub fn is_behind(&self, last_change: u64) -> bool {
-        self.told < last_change
+        self.sent_upto < last_change
     }
 
-    /// The next endpoints to tell, which may be none, and the number of the last change
-    /// that they contain.
-    pub fn next(&mut self, registry: &SharedRegistry) -> (Vec<Registration>, u64) {
-        let changes = registry.read(|r| r.changes_after(self.told, MOST_ENDPOINTS, self.scope));
-        // What is left is sent at once; what changes later waits for more.
-        if changes.endpoints.len() < MOST_ENDPOINTS {
-            self.not_before = Instant::now() + GATHER;
+    /// The next endpoints to send, possibly none, and the number of the last change that they
+    /// contain.
+    pub fn next_batch(&mut self, registry: &SharedRegistry) -> (Vec<Registration>, u64) {
+        let changes = registry
+            .read(|r| r.changes_after(self.sent_upto, MAX_ENDPOINTS_PER_MESSAGE, self.scope));
+        // The rest of a full batch follows at once; later changes wait for the interval.
+        if changes.endpoints.len() < MAX_ENDPOINTS_PER_MESSAGE {
+            self.not_before = Instant::now() + BATCH_INTERVAL;
         }
-        self.told = changes.upto;
+        self.sent_upto = changes.upto;
         let mut endpoints = changes.endpoints;
-        if self.told <= self.gone_after {
+        if self.sent_upto <= self.skip_gone_upto {
             endpoints.retain(|endpoint| endpoint.state != EndpointState::Gone);
         }
-        (endpoints, self.told)
+        (endpoints, self.sent_upto)
     }
 }
--- a/src/feed/following.rs
+++ b/src/feed/feed_plan.rs
@@ -1,9 +1,9 @@
-//! Which feeds to open and which to end, without I/O.
+//! Decides which feeds to open and which to end, without I/O.
 //!
-//! A host is suspected by its silence in datagrams. A feed has a connection of its
-//! own and may work all the same, so a suspicion ends none; a feed that said nothing
-//! while its host was suspected may hang on a dead connection, and is opened anew
-//! once the host is heard.
+//! A host is suspected when its heartbeats, which are datagrams, stop. Its feed has a
+//! connection of its own that may still work, so a suspicion ends no feed. A feed that
+//! delivered nothing while its host was suspected may have a dead connection, so it is
+//! replaced once the host is live again.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,49 +14,51 @@
 /// Why a feed is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Its host has started again.
+    /// Its host has restarted.
     Restarted,
-    /// It said nothing while its host was suspected.
+    /// It delivered nothing while its host was suspected.
     Silent,
-    /// Its host has not been heard of for long.
+    /// Its host is no longer in the view.
     Forgotten,
 }
 
 impl std::fmt::Display for Reason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Reason::Restarted => "has started again",
-            Reason::Silent => "is back and the feed said nothing meanwhile",
-            Reason::Forgotten => "has not been heard of for long",
+            Reason::Restarted => "has restarted",
+            Reason::Silent => "is live again, the feed was silent meanwhile",
+            Reason::Forgotten => "is no longer in the view",
         })
     }
 }
 
-/// What to do about a feed.
+/// What to do with a feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// End it.
+    /// End the feed of this host.
     End(HostId, Reason),
-    /// Open it.
+    /// Open a feed of this host, at its address for peers.
     Open(HostId, SocketAddr),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Feed {
     incarnation: u64,
-    /// Messages delivered when its host came under suspicion.
-    at_suspicion: Option<u64>,
+    /// The number of messages delivered when its host became suspected; `None` while it is
+    /// live.
+    delivered_at_suspicion: Option<u64>,
 }
 
-/// The feeds that are followed.
+/// The feeds that are open or being opened.
 #[derive(Clone, Debug, Default)]
-pub struct Following {
+pub struct FeedPlan {
     feeds: BTreeMap<HostId, Feed>,
 }
 
-impl Following {
-    /// The view has changed. `delivered` says how many messages a feed has delivered.
-    pub fn adopt(
+impl FeedPlan {
+    /// Adapts the feeds to a view. `delivered` returns the number of messages that the feed of
+    /// a host has delivered.
+    pub fn apply(
         &mut self,
         me: HostId,
         view: &View,
@@ -81,8 +83,8 @@
         for (host, (member, is_live)) in known {
             self.feeds.entry(host).or_insert_with(|| {
                 steps.push(Step::Open(host, member.peer));
-                let at_suspicion = (!is_live).then_some(0);
-                Feed { incarnation: member.incarnation, at_suspicion }
+                let delivered_at_suspicion = (!is_live).then_some(0);
+                Feed { incarnation: member.incarnation, delivered_at_suspicion }
             });
         }
         steps
@@ -100,10 +102,10 @@
             return Some(Reason::Restarted);
         }
         if !is_live {
-            self.at_suspicion.get_or_insert_with(delivered);
+            self.delivered_at_suspicion.get_or_insert_with(delivered);
             return None;
         }
-        let before = self.at_suspicion.take()?;
+        let before = self.delivered_at_suspicion.take()?;
         (delivered() == before).then_some(Reason::Silent)
     }
 }
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -1,4 +1,4 @@
-//! The control host's side of a feed.
+//! The publisher of a feed, on a control host.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use super::cursor::Cursor;
 use super::subscribers::{SubscriberFeed, Subscribers};
-use super::{FeedMessage, FeedRequest, FleetState, LeaderNews, Neighbour};
+use super::{FeedMessage, FeedRequest, FleetState, LeaderUpdate, Neighbour};
 use crate::control::Leadership;
 use crate::error::{Result, RpcSnafu};
 use crate::member::View;
@@ -24,29 +24,29 @@
     HostId, KEEP_ALIVE_INTERVAL, Role, SentBytes, Traffic, write_frame, write_keep_alive,
 };
 
-/// How long a subscriber may take to read one message.
+/// The time-out for writing one message to a subscriber.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Requests of one subscriber that may wait; one at a time is usual.
-const REQUESTS: usize = 4;
+/// The capacity of the queue of a subscriber's requests; usually one at a time is queued.
+const REQUEST_QUEUE: usize = 4;
 
-/// What a feed tells of, and to whom.
+/// What is published to a subscriber.
 #[derive(Clone, Debug)]
 pub struct Publication {
-    /// Who follows.
+    /// The subscriber.
     pub subscriber: HostId,
-    /// What it is told of.
+    /// The state whose changes are published.
     pub fleet_state: FleetState,
-    /// Who leads.
+    /// The leader of the agreement.
     pub leadership: watch::Receiver<Leadership>,
-    /// The other hosts.
+    /// The view of the hosts.
     pub view: watch::Receiver<Arc<View>>,
-    /// Names the numbers of the registry's changes: this start of the process.
+    /// The start of this process, which identifies the numbering of the registry's changes.
     pub numbering: u64,
-    /// Where it is noted what each feed was told.
+    /// Records the open feeds and the routing version sent to each.
     pub subscribers: Arc<Subscribers>,
 }
 
-/// Why a feed goes on.
+/// What a feed reacts to.
 #[derive(Debug)]
 enum Event {
     Leadership,
@@ -57,65 +57,65 @@
     Quarantine,
     EndpointsDue,
     Routing,
-    Asked(FeedRequest),
+    Requested(FeedRequest),
     KeepAliveDue,
-    /// The subscriber has left, or opened another feed.
-    Over,
+    /// The subscriber has closed the connection, or opened another feed.
+    Closed,
 }
 
-/// A feed to one subscriber.
+/// The feed of one subscriber.
 struct Feed {
     publication: Publication,
-    follower: SubscriberFeed,
+    subscriber_feed: SubscriberFeed,
     routing: watch::Receiver<Option<Arc<Routing>>>,
     changes: watch::Receiver<u64>,
     rollouts: watch::Receiver<Arc<Rollouts>>,
     grants: watch::Receiver<Grants>,
     quarantine: watch::Receiver<Arc<Quarantines>>,
-    asked: mpsc::Receiver<FeedRequest>,
-    /// How many routers it was told of.
-    routers: u32,
-    /// Revision of the drained halls that it was told.
-    drained: u64,
-    /// Revision of the requests that crash endpoints that it was told.
-    quarantined: u64,
-    /// How far it was told of endpoints; none where it has not asked.
+    requests: mpsc::Receiver<FeedRequest>,
+    /// The number of routers that was last sent.
+    sent_routers: u32,
+    /// The revision of the drained halls that was last sent.
+    sent_drained_revision: u64,
+    /// The revision of the quarantine that was last sent.
+    sent_quarantine_revision: u64,
+    /// The position in the changes of endpoints; `None` where they are not requested.
     cursor: Option<Cursor>,
-    /// When it was last told anything.
-    told_at: Instant,
+    /// When anything was last sent.
+    last_sent_at: Instant,
 }
 
-/// Tells one subscriber everything, and then each change, until it leaves. Routing
-/// tables and endpoints are sent when it asks.
+/// Sends a subscriber the current state and then each change, until it closes the connection
+/// or opens another feed. Routing tables and endpoints are sent on request only.
 pub async fn publish(
     publication: Publication,
     sent: SentBytes,
     reader: PeerReader,
     mut writer: OwnedWriteHalf,
 ) -> Result<()> {
-    let (requests, asked) = mpsc::channel(REQUESTS);
-    let _reading = AbortOnDropHandle::new(tokio::spawn(read_requests(reader, requests)));
-    let mut feed = Feed::new(publication, asked);
+    let (sender, requests) = mpsc::channel(REQUEST_QUEUE);
+    let _reading = AbortOnDropHandle::new(tokio::spawn(read_requests(reader, sender)));
+    let mut feed = Feed::new(publication, requests);
     loop {
         let message = match feed.wait().await {
-            Event::Over => return Ok(()),
+            Event::Closed => return Ok(()),
             Event::KeepAliveDue => {
                 write_within_limit(&sent.of(Traffic::Routing), write_keep_alive(&mut writer))
                     .await?;
-                feed.told_at = Instant::now();
+                feed.last_sent_at = Instant::now();
                 continue;
             }
-            event => feed.message(event),
+            event => feed.message_for(event),
         };
         let Some(message) = message else { continue };
         write(&mut writer, &sent, &message).await?;
-        feed.note_told(&message);
+        feed.record_sent(&message);
     }
 }
 
 impl Feed {
-    /// A feed that was told nothing yet.
-    fn new(mut publication: Publication, asked: mpsc::Receiver<FeedRequest>) -> Feed {
+    /// A feed on which nothing was sent yet.
+    fn new(mut publication: Publication, requests: mpsc::Receiver<FeedRequest>) -> Feed {
         let mut routing = publication.fleet_state.documents.watch();
         let mut changes = publication.fleet_state.registry.watch();
         let mut rollouts = publication.fleet_state.rollouts.watch();
@@ -127,29 +127,29 @@
         publication.leadership.mark_changed();
         publication.view.mark_changed();
         Feed {
-            follower: publication.subscribers.opened(publication.subscriber),
+            subscriber_feed: publication.subscribers.open(publication.subscriber),
             grants: publication.fleet_state.rollouts.watch_grants(),
             publication,
             routing,
             changes,
             rollouts,
             quarantine,
-            asked,
-            routers: 0,
-            drained: 0,
-            quarantined: 0,
+            requests,
+            sent_routers: 0,
+            sent_drained_revision: 0,
+            sent_quarantine_revision: 0,
             cursor: None,
-            told_at: Instant::now(),
+            last_sent_at: Instant::now(),
         }
     }
 
     async fn wait(&mut self) -> Event {
         let due_at = self.endpoints_due_at();
-        // In this order: whoever has a routing knows who leads, so that it can tell
-        // whether the routing is the newest.
+        // The order matters: a subscriber learns of the leader before the routing, so that it
+        // can tell whether the routing is the newest.
         tokio::select! {
             biased;
-            () = self.follower.superseded() => Event::Over,
+            () = self.subscriber_feed.superseded() => Event::Closed,
             Ok(()) = self.publication.leadership.changed() => Event::Leadership,
             Ok(()) = self.publication.view.changed() => Event::Hosts,
             Ok(()) = self.changes.changed() => Event::Registry,
@@ -158,29 +158,31 @@
             Ok(()) = self.quarantine.changed() => Event::Quarantine,
             () = wait_until(due_at) => Event::EndpointsDue,
             Ok(()) = self.routing.changed() => Event::Routing,
-            request = self.asked.recv() => request.map_or(Event::Over, Event::Asked),
-            () = tokio::time::sleep_until(self.told_at + KEEP_ALIVE_INTERVAL) => Event::KeepAliveDue,
+            request = self.requests.recv() => request.map_or(Event::Closed, Event::Requested),
+            () = tokio::time::sleep_until(self.last_sent_at + KEEP_ALIVE_INTERVAL) => {
+                Event::KeepAliveDue
+            }
         }
     }
 
-    /// When endpoints are to be told, if any have changed.
+    /// When the next update of endpoints is due, if any have changed.
     fn endpoints_due_at(&self) -> Option<Instant> {
         let cursor = self.cursor.as_ref()?;
         let last_change = self.publication.fleet_state.registry.read(|r| r.last_change());
         if !cursor.is_behind(last_change) {
             return None;
         }
-        // Who is told of a route is told of the endpoints before.
+        // Endpoints are sent before the routing that refers to them.
         let is_routing_next = self.routing.has_changed().unwrap_or(false);
         Some(if is_routing_next { Instant::now() } else { cursor.not_before() })
     }
 
-    /// What to say, if there is anything.
-    fn message(&mut self, event: Event) -> Option<FeedMessage> {
+    /// The message to send for an event, if there is one.
+    fn message_for(&mut self, event: Event) -> Option<FeedMessage> {
         match event {
             Event::Leadership => {
                 let known = self.publication.leadership.borrow_and_update();
-                Some(FeedMessage::Leader(LeaderNews {
+                Some(FeedMessage::Leader(LeaderUpdate {
                     term: known.term,
                     leader: known.leader,
                     has_caught_up: known.has_caught_up,
@@ -189,12 +191,12 @@
             Event::Hosts => {
                 let view = self.publication.view.borrow_and_update();
                 let now = view.with_role(Role::Router).count() as u32;
-                let before = std::mem::replace(&mut self.routers, now);
+                let before = std::mem::replace(&mut self.sent_routers, now);
                 (before != now).then_some(FeedMessage::Routers(now))
             }
             Event::Registry => {
                 let now = self.publication.fleet_state.registry.read(|r| r.drained().clone());
-                let before = std::mem::replace(&mut self.drained, now.revision());
+                let before = std::mem::replace(&mut self.sent_drained_revision, now.revision());
                 (before != now.revision()).then_some(FeedMessage::DrainedHalls(now))
             }
             Event::Rollouts => {
@@ -204,22 +206,22 @@
             Event::Grants => Some(FeedMessage::Grants(self.grants.borrow_and_update().clone())),
             Event::Quarantine => {
                 let now = self.quarantine.borrow_and_update().clone();
-                let told = std::mem::replace(&mut self.quarantined, now.revision());
-                now.update_after(told).map(FeedMessage::Quarantine)
+                let before = std::mem::replace(&mut self.sent_quarantine_revision, now.revision());
+                now.update_after(before).map(FeedMessage::Quarantine)
             }
             Event::EndpointsDue => self.endpoints(),
             Event::Routing => {
                 let routing = self.routing.borrow_and_update().clone()?;
                 Some(FeedMessage::RoutingVersion(routing.table.version))
             }
-            Event::Asked(request) => self.answer(request),
-            Event::KeepAliveDue | Event::Over => None,
+            Event::Requested(request) => self.answer(request),
+            Event::KeepAliveDue | Event::Closed => None,
         }
     }
 
     fn endpoints(&mut self) -> Option<FeedMessage> {
         let cursor = self.cursor.as_mut()?;
-        let (endpoints, upto) = cursor.next(&self.publication.fleet_state.registry);
+        let (endpoints, upto) = cursor.next_batch(&self.publication.fleet_state.registry);
         if endpoints.is_empty() {
             return None;
         }
@@ -248,21 +250,21 @@
                     .quarantine
                     .receive_report(publication.subscriber, report)
                 {
-                    log::warn!("quarantine: too many reports of crashes, one is dropped");
+                    log::warn!("quarantine: dropped a crash report, too many are pending");
                 }
                 None
             }
-            FeedRequest::EndpointsLeave(starts) => {
-                // As first hand: the other control hosts are told.
+            FeedRequest::LeavingEndpoints(starts) => {
+                // As direct, so that it is relayed to the other control hosts.
                 publication.fleet_state.registry.record_leaving(&starts, Origin::Direct);
                 None
             }
-            FeedRequest::Speak { waking } => Some(FeedMessage::Speaks { waking }),
+            FeedRequest::Probe { stall } => Some(FeedMessage::ProbeAnswer { stall }),
             FeedRequest::Endpoints(after) => {
                 let cursor =
                     Cursor::new(after, publication.numbering, &publication.fleet_state.registry);
                 self.cursor = Some(cursor);
-                // Who was told before knows what the sender only remembers.
+                // A subscriber that received updates before already has the remembered endpoints.
                 let remembered =
                     || publication.fleet_state.registry.read(|r| r.remembered().cloned().collect());
                 (after.numbering == 0).then(|| FeedMessage::Remembered(remembered()))
@@ -274,36 +276,36 @@
         }
     }
 
-    /// A message was written.
-    fn note_told(&mut self, message: &FeedMessage) {
-        self.told_at = Instant::now();
+    /// Records that a message was sent.
+    fn record_sent(&mut self, message: &FeedMessage) {
+        self.last_sent_at = Instant::now();
         if let FeedMessage::RoutingVersion(version) = message {
-            self.follower.told(*version);
+            self.subscriber_feed.record_version_sent(*version);
         }
     }
 }
 
 async fn wait_until(due_at: Option<Instant>) {
     match due_at {
-        // A timer may fire a millisecond late; what is due comes first.
+        // A timer may fire a millisecond late, and other events would then come first.
         Some(due_at) if due_at <= Instant::now() => {}
         Some(due_at) => tokio::time::sleep_until(due_at).await,
         None => std::future::pending().await,
     }
 }
 
-/// The routers of a data hall that take requests.
+/// The routers of a data hall that accept requests.
 pub(super) fn neighbours(view: &View, hall: &str) -> Vec<Neighbour> {
-    let of_hall = view.with_role(Role::Router).filter(|m| m.hall == hall && !m.draining);
-    of_hall.map(|m| Neighbour { host: m.host, peer: m.peer }).collect()
+    let in_hall = view.with_role(Role::Router).filter(|m| m.hall == hall && !m.draining);
+    in_hall.map(|m| Neighbour { host: m.host, peer: m.peer }).collect()
 }
 
-/// Reads what the subscriber asks for until its connection ends.
-async fn read_requests(mut reader: PeerReader, requests: mpsc::Sender<FeedRequest>) {
-    // The end of the connection ends the feed too, which says so.
+/// Reads the subscriber's requests until its connection ends.
+async fn read_requests(mut reader: PeerReader, sender: mpsc::Sender<FeedRequest>) {
+    // The end of the connection also ends the feed, so the error is not reported here.
     while let Ok(batch) = reader.next::<Vec<FeedRequest>>().await {
         for request in batch {
-            if requests.send(request).await.is_err() {
+            if sender.send(request).await.is_err() {
                 return;
             }
         }
@@ -324,7 +326,7 @@
 ) -> Result<()> {
     match tokio::time::timeout(WRITE_TIMEOUT, writing).await {
         Ok(bytes) => sent.add(bytes?),
-        Err(_) => return RpcSnafu { message: "a subscriber reads nothing" }.fail(),
+        Err(_) => return RpcSnafu { message: "write to a subscriber timed out" }.fail(),
     }
     Ok(())
 }
--- a/src/feed/sources.rs
+++ b/src/feed/sources.rs
@@ -1,11 +1,11 @@
-//! Which control hosts tell a subscriber of endpoints, without I/O.
+//! Chooses the control hosts that send endpoint updates to a subscriber, without I/O.
 //!
-//! Were everybody told everything by every control host, the bytes of a control host
-//! would grow with hosts times endpoints, as many times over as there are control hosts.
-//! Two that tell all they know are enough: one of the subscriber's own data hall, which
-//! it reaches when the hall is cut off, and one of another, which hears what the first
-//! may not. Control hosts also tell each other what endpoints said to themselves, so that
-//! any may lead at once.
+//! If every control host sent every update to every subscriber, each control host would send
+//! bytes in proportion to hosts times endpoints, and each update would arrive as often as there
+//! are control hosts. Two that send all they know are enough: one in the subscriber's own data
+//! hall, which stays reachable when the hall is cut off, and one in another, which receives
+//! updates that the first may miss. Control hosts also send each other the endpoints that
+//! registered with themselves, so that each of them is ready to lead.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,19 +14,19 @@
 use crate::registry::Scope;
 use crate::wire::{HostId, Role};
 
-/// Control hosts that tell one router of endpoints.
+/// The number of control hosts that send all endpoint updates to one subscriber.
 const SOURCES: usize = 2;
 
-/// A step towards being told by the right control hosts.
+/// A change of the control hosts that send endpoint updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask to be told of these changes.
-    Ask(HostId, Scope),
-    /// Ask to be told no more.
-    Leave(HostId),
+    /// Request updates of this scope.
+    Subscribe(HostId, Scope),
+    /// Request that updates stop.
+    Unsubscribe(HostId),
 }
 
-/// The control hosts whose feeds are open, and which of them were asked.
+/// The control hosts whose feeds are open, and those that send endpoint updates.
 #[derive(Clone, Debug)]
 pub struct Sources {
     me: HostId,
@@ -34,53 +34,56 @@
     role: Role,
     /// The data hall of each control host whose feed is open.
     open: BTreeMap<HostId, String>,
-    asked: BTreeMap<HostId, Scope>,
+    /// The scope requested from each control host that sends endpoint updates.
+    subscribed: BTreeMap<HostId, Scope>,
 }
 
 impl Sources {
-    /// None yet, for the host `me`.
+    /// No control hosts yet, for the subscriber `me` of this data hall and role.
     pub fn new(me: HostId, hall: &str, role: Role) -> Sources {
-        let (open, asked) = (BTreeMap::new(), BTreeMap::new());
-        Sources { me, hall: hall.to_string(), role, open, asked }
+        let (open, subscribed) = (BTreeMap::new(), BTreeMap::new());
+        Sources { me, hall: hall.to_string(), role, open, subscribed }
     }
 
-    /// The feed of a control host was opened.
-    pub fn opened(&mut self, host: HostId, hall: &str) {
+    /// Records that the feed of a control host, in this data hall, was opened.
+    pub fn on_feed_opened(&mut self, host: HostId, hall: &str) {
         self.open.insert(host, hall.to_string());
-        self.asked.remove(&host);
+        self.subscribed.remove(&host);
     }
 
-    /// The feed of a control host has ended.
-    pub fn lost(&mut self, host: HostId) {
+    /// Records that the feed of a control host has ended.
+    pub fn on_feed_lost(&mut self, host: HostId) {
         self.open.remove(&host);
-        self.asked.remove(&host);
+        self.subscribed.remove(&host);
     }
 
-    /// Works out whom to ask now.
-    pub fn settle(&mut self, leader: Option<HostId>) -> Vec<Step> {
-        let best = self.best(leader);
-        let scope = |host: &HostId| match (best.contains(host), self.role) {
+    /// Chooses the sources anew and returns the changes since the last call.
+    pub fn update(&mut self, leader: Option<HostId>) -> Vec<Step> {
+        let chosen = self.choose(leader);
+        let scope = |host: &HostId| match (chosen.contains(host), self.role) {
             (true, _) => Some(Scope::All),
-            // An endpoint calls one control host, and any may come to lead.
+            // An endpoint registers with one control host only, and any may become the leader.
             (false, Role::Control) => Some(Scope::Direct),
             (false, Role::Router) => None,
         };
-        let wanted = self.open.keys().filter_map(|host| Some((*host, scope(host)?)));
-        let wanted: BTreeMap<_, _> = wanted.collect();
-        let left = self.asked.keys().filter(|host| !wanted.contains_key(host));
-        let left = left.map(|host| Step::Leave(*host));
-        let new = wanted.iter().filter(|(host, scope)| self.asked.get(host) != Some(scope));
-        let steps = left.chain(new.map(|(host, scope)| Step::Ask(*host, *scope))).collect();
-        self.asked = wanted;
+        let needed = self.open.keys().filter_map(|host| Some((*host, scope(host)?)));
+        let needed: BTreeMap<_, _> = needed.collect();
+        let removed = self.subscribed.keys().filter(|host| !needed.contains_key(host));
+        let removed = removed.map(|host| Step::Unsubscribe(*host));
+        let added = needed.iter().filter(|(host, scope)| self.subscribed.get(host) != Some(scope));
+        let steps =
+            removed.chain(added.map(|(host, scope)| Step::Subscribe(*host, *scope))).collect();
+        self.subscribed = needed;
         steps
     }
 
-    /// The best source, and the best of another data hall beside it. The leader, which
-    /// has most to do, comes last; who was asked stays, since a new one tells everything
-    /// again; and each subscriber has an order of its own.
-    fn best(&self, leader: Option<HostId>) -> BTreeSet<HostId> {
+    /// The best source, and beside it the best one of another data hall, if there is one. The
+    /// leader ranks last, since it has the highest load. Current sources rank before new ones,
+    /// which would send everything again. Otherwise each subscriber has an order of its own,
+    /// which spreads the load.
+    fn choose(&self, leader: Option<HostId>) -> BTreeSet<HostId> {
         let rank = |(host, hall): &(&HostId, &String)| {
-            let is_new = self.asked.get(host) != Some(&Scope::All);
+            let is_new = self.subscribed.get(host) != Some(&Scope::All);
             let leads = is_new && Some(**host) == leader;
             let seed = u64::from(self.me.0) << 32 | u64::from(host.0);
             (leads, **hall != self.hall, is_new, xxh3_64(&seed.to_be_bytes()))
@@ -88,8 +91,8 @@
         let mut order: Vec<_> = self.open.iter().collect();
         order.sort_by_key(rank);
         let Some((first, hall)) = order.first() else { return BTreeSet::new() };
-        let elsewhere = order.iter().find(|(_, other)| other != hall);
-        let second = elsewhere.or(order.get(SOURCES - 1));
+        let in_other_hall = order.iter().find(|(_, other)| other != hall);
+        let second = in_other_hall.or(order.get(SOURCES - 1));
         [Some(first), second.map(|(host, _)| host)]
             .into_iter()
             .flatten()
--- a/src/feed/subscribers.rs
+++ b/src/feed/subscribers.rs
@@ -1,5 +1,5 @@
-//! The feeds that are open from this control host: what each was told, and one at most for
-//! each subscriber.
+//! The open feeds of this control host, at most one for each subscriber, and the routing
+//! version sent to each.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,53 +9,53 @@
 
 use crate::wire::HostId;
 
-/// The open feeds, by who subscribed.
+/// The open feeds, by subscriber.
 #[derive(Debug, Default)]
 pub struct Subscribers {
     feeds: Mutex<BTreeMap<HostId, Feed>>,
-    next: AtomicU64,
+    next_number: AtomicU64,
 }
 
 #[derive(Debug)]
 struct Feed {
     number: u64,
-    /// The routing version that it was told last.
-    told: u64,
+    /// The last routing version that was sent; 0 for none.
+    sent_version: u64,
     superseded: CancellationToken,
 }
 
-/// One open feed; it counts no more when this is dropped.
+/// An open feed; it is removed from the open feeds when this is dropped.
 #[derive(Debug)]
 pub struct SubscriberFeed {
     subscriber: HostId,
     number: u64,
     superseded: CancellationToken,
-    all: Arc<Subscribers>,
+    subscribers: Arc<Subscribers>,
 }
 
 impl Subscribers {
-    /// A subscriber opened a feed; it was told no version yet. The feed that it had before
-    /// ends: its connection is dead, which this end may not find out for a quarter of an
-    /// hour.
-    pub fn opened(self: &Arc<Self>, subscriber: HostId) -> SubscriberFeed {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+    /// Registers a feed that a subscriber opened, to which no version was sent yet. Its
+    /// previous feed is superseded: the connection is dead, which this end might otherwise not
+    /// detect for a quarter of an hour.
+    pub fn open(self: &Arc<Self>, subscriber: HostId) -> SubscriberFeed {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let superseded = CancellationToken::new();
-        let feed = Feed { number, told: 0, superseded: superseded.clone() };
-        if let Some(before) = self.with(|feeds| feeds.insert(subscriber, feed)) {
-            before.superseded.cancel();
+        let feed = Feed { number, sent_version: 0, superseded: superseded.clone() };
+        if let Some(previous) = self.with(|feeds| feeds.insert(subscriber, feed)) {
+            previous.superseded.cancel();
         }
-        SubscriberFeed { subscriber, number, superseded, all: self.clone() }
+        SubscriberFeed { subscriber, number, superseded, subscribers: self.clone() }
     }
 
-    /// Feeds that are open.
+    /// The number of open feeds.
     pub fn count(&self) -> usize {
         self.with(|feeds| feeds.len())
     }
 
-    /// Feeds that were told this version or a later one: it was written to the socket.
-    /// That it came is seen at the subscriber only.
+    /// The number of open feeds to which this version or a later one was sent, that is,
+    /// written to the socket. Only the subscriber can tell whether it arrived.
     pub fn count_sent(&self, version: u64) -> usize {
-        self.with(|feeds| feeds.values().filter(|feed| feed.told >= version).count())
+        self.with(|feeds| feeds.values().filter(|feed| feed.sent_version >= version).count())
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut BTreeMap<HostId, Feed>) -> T) -> T {
@@ -64,12 +64,12 @@
 }
 
 impl SubscriberFeed {
-    /// The feed was told a routing version.
-    pub fn told(&self, version: u64) {
-        self.all.with(|feeds| {
-            let own = feeds.get_mut(&self.subscriber).filter(|feed| feed.number == self.number);
-            if let Some(feed) = own {
-                feed.told = version;
+    /// Records that a routing version was sent.
+    pub fn record_version_sent(&self, version: u64) {
+        self.subscribers.with(|feeds| {
+            let current = feeds.get_mut(&self.subscriber).filter(|feed| feed.number == self.number);
+            if let Some(feed) = current {
+                feed.sent_version = version;
             }
         });
     }
@@ -82,7 +82,7 @@
 
 impl Drop for SubscriberFeed {
     fn drop(&mut self) {
-        self.all.with(|feeds| {
+        self.subscribers.with(|feeds| {
             if feeds.get(&self.subscriber).is_some_and(|feed| feed.number == self.number) {
                 feeds.remove(&self.subscriber);
             }
--- a/src/feed/tests/connection.rs
+++ b/src/feed/tests/connection.rs
@@ -1,4 +1,4 @@
-//! A subscriber and a control host over real sockets.
+//! Feeds between control hosts and a subscriber, over real sockets.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 };
 use crate::wire::{HostId, Open, Role, Traffic, write_frame};
 
-/// Publishes to whoever subscribes, as a control host that leads and knows no endpoint.
+/// Publishes to every subscriber, as a control host that leads and knows no endpoints.
 async fn serve(
     peers: Arc<Peers>,
     incoming: mpsc::Receiver<Incoming>,
@@ -22,7 +22,7 @@
     serve_endpoints(peers, incoming, documents, Arc::default()).await;
 }
 
-/// Publishes to whoever subscribes, as a control host that leads.
+/// Publishes to every subscriber, as a control host that leads.
 async fn serve_endpoints(
     peers: Arc<Peers>,
     mut incoming: mpsc::Receiver<Incoming>,
@@ -40,20 +40,20 @@
     RoutingTable { version, ..RoutingTable::default() }
 }
 
-/// A control host that publishes, a router that follows it, and the routing of each.
+/// A control host that publishes, a router that subscribes to it, and the routing of each.
 async fn fleet(first: u8) -> ([Arc<Peers>; 2], [Arc<CurrentRouting>; 2], Arc<Subscriptions>) {
     let (control, incoming) = start(Role::Control, first, vec![]).await;
     let published = Arc::new(CurrentRouting::default());
     tokio::spawn(serve(control.clone(), incoming, published.clone()));
     let (router, _) = start(Role::Router, first + 1, vec![address(first)]).await;
-    let followed = Arc::new(CurrentRouting::default());
-    let feeds = Subscriptions::start(router.clone(), following(&followed), "a", Role::Router);
+    let received = Arc::new(CurrentRouting::default());
+    let feeds = Subscriptions::start(router.clone(), fleet_state(&received), "a", Role::Router);
     published.adopt_table(table(1));
-    wait_until(|| version(&followed) == 1).await;
-    ([control, router], [published, followed], feeds)
+    wait_until(|| version(&received) == 1).await;
+    ([control, router], [published, received], feeds)
 }
 
-fn following(documents: &Arc<CurrentRouting>) -> FleetState {
+fn fleet_state(documents: &Arc<CurrentRouting>) -> FleetState {
     FleetState { documents: documents.clone(), ..FleetState::default() }
 }
 
@@ -62,21 +62,21 @@
 }
 
 #[tokio::test]
-async fn a_version_comes_into_force_though_heartbeats_are_lost() {
-    let ([control, router], [published, followed], feeds) = fleet(1).await;
+async fn a_version_comes_into_force_despite_lost_heartbeats() {
+    let ([control, router], [published, received], feeds) = fleet(1).await;
     assert!(feeds.is_current());
     control.links.set(vec![router.me], vec![], vec![]);
     let suspects = |host: HostId| router.view().suspected.iter().any(|m| m.host == host);
     wait_until(|| suspects(control.me)).await;
-    assert!(!feeds.is_current(), "who is not heard may be cut off");
+    assert!(!feeds.is_current(), "a suspected host may be cut off");
     published.adopt_table(table(2));
-    wait_until(|| version(&followed) == 2).await;
-    assert!(suspects(control.me), "it was not heard meanwhile");
+    wait_until(|| version(&received) == 2).await;
+    assert!(suspects(control.me), "no heartbeat was received meanwhile");
     control.links.set(vec![], vec![], vec![]);
     wait_until(|| feeds.is_current()).await;
 }
 
-/// A table of so many routes that it weighs more than all else that is sent.
+/// A table with so many routes that it is larger than everything else that is sent.
 fn large_table(version: u64) -> RoutingTable {
     let numbered =
         |n| route(&format!("route-{n}"), "shop.example", &format!("/a-long-prefix-of-route-{n}/"));
@@ -93,25 +93,25 @@
         hosts.push(control);
     }
     let (router, _) = start(Role::Router, 13, vec![address(11), address(12)]).await;
-    let followed = Arc::new(CurrentRouting::default());
-    let feeds = Subscriptions::start(router, following(&followed), "a", Role::Router);
+    let received = Arc::new(CurrentRouting::default());
+    let feeds = Subscriptions::start(router, fleet_state(&received), "a", Role::Router);
     wait_until(|| feeds.open_feeds() == 2).await;
-    let weight = postcard::to_stdvec(&large_table(1)).unwrap().len() as u64;
+    let size = postcard::to_stdvec(&large_table(1)).unwrap().len() as u64;
     for documents in &published {
         documents.adopt_table(large_table(1));
     }
-    wait_until(|| version(&followed) == 1).await;
-    // Both know that it has come once both have said the next, small one.
+    wait_until(|| version(&received) == 1).await;
+    // Once the next, small table is in force, no host still has the large one to send.
     for documents in &published {
         documents.adopt_table(table(2));
     }
-    wait_until(|| version(&followed) == 2).await;
+    wait_until(|| version(&received) == 2).await;
     let sent: u64 = hosts.iter().map(|host| host.sent.get()).sum();
-    assert!(sent < weight * 3 / 2, "{sent} bytes sent, {weight} would do");
+    assert!(sent < size * 3 / 2, "{sent} bytes sent, the table has {size}");
 }
 
 #[tokio::test]
-async fn a_table_is_had_from_the_host_that_is_left() {
+async fn a_table_is_fetched_from_another_host_if_one_sends_none() {
     let (first, first_incoming) = start(Role::Control, 21, vec![]).await;
     let (second, second_incoming) = start(Role::Control, 22, vec![]).await;
     let documents = [Arc::new(CurrentRouting::default()), Arc::new(CurrentRouting::default())];
@@ -119,16 +119,16 @@
     tokio::spawn(announce(first_incoming, 3));
     tokio::spawn(serve(second, second_incoming, documents[1].clone()));
     let (router, _) = start(Role::Router, 23, vec![address(21), address(22)]).await;
-    let followed = Arc::new(CurrentRouting::default());
-    let feeds = Subscriptions::start(router, following(&followed), "a", Role::Router);
+    let received = Arc::new(CurrentRouting::default());
+    let feeds = Subscriptions::start(router, fleet_state(&received), "a", Role::Router);
     wait_until(|| feeds.open_feeds() == 2).await;
     documents[1].adopt_table(table(2));
-    wait_until(|| version(&followed) == 2).await;
+    wait_until(|| version(&received) == 2).await;
     assert!(!feeds.is_current(), "a newer version is announced");
     drop(first);
 }
 
-/// Announces a version to whoever subscribes, and says nothing else.
+/// Announces a version to every subscriber, and sends nothing else.
 async fn announce(mut incoming: mpsc::Receiver<Incoming>, version: u64) {
     let mut open = Vec::new();
     while let Some(Incoming { mut writer, .. }) = incoming.recv().await {
@@ -137,7 +137,7 @@
     }
 }
 
-/// Endpoints of one service, each heard by the control host itself.
+/// Endpoints of one service that registered with the control host itself.
 fn registered(endpoints: u32) -> Arc<SharedRegistry> {
     let registry = SharedRegistry::default();
     let endpoint = |number: u32| Registration {
@@ -157,9 +157,9 @@
     Arc::new(registry)
 }
 
-/// Six control hosts know the same endpoints: two tell a router, whatever their number.
+/// Six control hosts know the same endpoints, and only two of them send these to a router.
 #[tokio::test]
-async fn a_router_is_told_of_thousands_of_endpoints_by_two_control_hosts() {
+async fn only_two_control_hosts_send_thousands_of_endpoints_to_a_router() {
     const ENDPOINTS: u32 = 3_000;
     let mut hosts = Vec::new();
     for number in 61..67 {
@@ -175,12 +175,12 @@
     let feeds = Subscriptions::start(router, fleet_state, "a", Role::Router);
     wait_until(|| feeds.open_feeds() == hosts.len()).await;
     wait_until(|| registry.read(|r| r.ready("service").count()) == ENDPOINTS as usize).await;
-    let told: Vec<_> =
+    let sent: Vec<_> =
         hosts.iter().map(|host| host.sent.of(Traffic::Endpoints).get_for_traffic()).collect();
-    let whole = postcard::to_stdvec(
+    let once = postcard::to_stdvec(
         &registered(ENDPOINTS).read(|r| r.changes_after(0, usize::MAX, Scope::All)).endpoints,
     )
     .unwrap()
     .len() as u64;
-    assert!(told.iter().sum::<u64>() < whole * 3, "{told:?} bytes, {whole} at once");
+    assert!(sent.iter().sum::<u64>() < once * 3, "{sent:?} bytes, {once} for one copy");
 }
