--- a/src/demo.rs
+++ b/src/demo.rs
@@ -100,7 +100,7 @@
 async fn wait_ready(site: &Site) -> Result<()> {
     let up = async {
         for router in 0..site.routers {
-            let address = site.callers(router);
+            let address = site.router_address(router);
             while tokio::net::TcpStream::connect(address).await.is_err() {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -128,7 +128,7 @@
     };
     let seats = LoadCustomer {
         service: site.plain.clone(),
-        path: Some(format!("{}/seat", site.once_path)),
+        path: Some(format!("{}/seat", site.run_once_path)),
         keyed: true,
         resend: 0.3,
         ..customer("market-traders", 2, Arrival::Open(20.0), 1.0, &[])
--- a/src/feed/subscribe/feeds.rs
+++ b/src/feed/subscribe/feeds.rs
@@ -69,7 +69,7 @@
         let before = delivered.load(Ordering::Relaxed);
         if let Err(error) = read_feed(&subscriptions, host, address, &delivered).await {
             log::warn!("feed: connection to control host {host} lost: {error}");
-            if matches!(error, Error::Silent) {
+            if matches!(error, Error::SilenceTimeout) {
                 // There may be no receiver.
                 let _ = subscriptions.silent.send(host);
             }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::{Clock, epoch_ms};
 use crate::error::{Error, NetSnafu, Result};
-use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, Table, View};
+use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, MemberTable, View};
 use crate::settings::HostSettings;
 use crate::wire::{
     Beat, FrameReader, Heartbeat, HostId, Open, Role, SentBytes, Traffic, UDP_HEADER_BYTES,
@@ -68,7 +68,7 @@
     pub links: Links,
     /// Control bytes sent to other hosts.
     pub sent: SentBytes,
-    table: Mutex<Table>,
+    table: Mutex<MemberTable>,
     view: watch::Sender<Arc<View>>,
     other_protocols: AtomicU64,
     malformed: AtomicU64,
@@ -88,7 +88,7 @@
         let udp = UdpSocket::bind(listen).await.with_context(|_| NetSnafu { what: what() })?;
         let incarnation = epoch_ms();
         let beat = Heartbeat {
-            host: settings.number(),
+            host: settings.host_id(),
             incarnation,
             role,
             hall: settings.hall.clone(),
@@ -98,10 +98,10 @@
             draining: false,
             also: None,
         };
-        let table = Table::new(beat, settings.seed_peers(), settings.heartbeats);
+        let table = MemberTable::new(beat, settings.seed_peers(), settings.heartbeats);
         let first = Arc::new(table.view(0));
         let peers = Arc::new(Peers {
-            me: settings.number(),
+            me: settings.host_id(),
             address,
             incarnation,
             clock: Clock::start(),
@@ -138,7 +138,7 @@
 
     /// Makes heartbeats report that this host is draining for a planned stop.
     pub fn set_draining(&self) {
-        self.with_table(Table::set_draining);
+        self.with_table(MemberTable::set_draining);
     }
 
     /// The number of brief heartbeats, since the start, from hosts that sent no full one.
@@ -153,7 +153,7 @@
     }
 
     fn count_other_protocol(&self, error: &Error) {
-        if matches!(error, Error::OtherProtocol { .. }) {
+        if matches!(error, Error::ProtocolMismatch { .. }) {
             self.other_protocols.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -193,7 +193,7 @@
         Ok((FrameReader::new(BufReader::new(read)), write))
     }
 
-    fn with_table<T>(&self, f: impl FnOnce(&mut Table) -> T) -> T {
+    fn with_table<T>(&self, f: impl FnOnce(&mut MemberTable) -> T) -> T {
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let result = f(&mut table);
         drop(table);
@@ -238,7 +238,7 @@
         let now = peers.clock.now();
         let (beat, targets, alone) = peers.with_table(|t| {
             t.tick(now);
-            let (beat, targets) = t.beat();
+            let (beat, targets) = t.next_heartbeat();
             (beat, targets, t.is_alone())
         });
         let next = tokio::time::Instant::now() + Duration::from_millis(pause_ms);
@@ -284,7 +284,7 @@
             continue;
         }
         let now = peers.clock.now();
-        let answer = peers.with_table(|t| t.heard(now, from, beat));
+        let answer = peers.with_table(|t| t.on_heartbeat(now, from, beat));
         if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut_to(sender)) {
             log_answer(sender, &answer);
             send_beat(&peers, &udp, &answer, vec![to]).await;
--- a/src/placement/shares.rs
+++ b/src/placement/shares.rs
@@ -1,4 +1,4 @@
-//! What customers asked for and got, over a sliding window.
+//! Service that customers requested and received, over a sliding window.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,32 +7,32 @@
 /// Length of the window in milliseconds.
 pub const WINDOW_MS: Millis = 4_000;
 
-/// Ratio of service received to share from which on a customer is above it.
+/// Ratio of received service to share above which a customer is above its share.
 const SHARE_TOLERANCE: f64 = 1.002;
 
-/// What a customer got so far.
+/// Service that a customer received in the window, relative to its share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
-    /// Service received over its share: over what an equal division of all that was
-    /// served gives to those who ask for more. Above 1, it has had its share.
+pub struct ShareUsage {
+    /// Service received divided by its share, which is an equal division of all service among the
+    /// customers that request more. Above 1, it has received its full share.
     pub ratio: f64,
-    /// Service received over the lesser of what it asked and what an equal division
-    /// gives: 1 where it got what it is owed.
+    /// Service received divided by the lesser of what it requested and its share: 1 if it received
+    /// all that it is entitled to.
     pub fulfilment: f64,
-    /// Service received over what an equal division of all service gives, also of
-    /// what engines do beyond what they are meant to.
+    /// Service received divided by an equal division of all service, including what engines do
+    /// beyond their nominal capacity.
     pub relative: f64,
 }
 
-impl Default for Standing {
-    /// Of a customer that has asked for nothing.
-    fn default() -> Standing {
-        Standing { ratio: 0.0, fulfilment: 1.0, relative: 0.0 }
+impl Default for ShareUsage {
+    /// Of a customer that has requested nothing.
+    fn default() -> ShareUsage {
+        ShareUsage { ratio: 0.0, fulfilment: 1.0, relative: 0.0 }
     }
 }
 
-impl Standing {
-    /// Whether it has had what it is owed.
+impl ShareUsage {
+    /// Whether it has received more than its share.
     pub fn is_above(&self) -> bool {
         self.ratio > SHARE_TOLERANCE
     }
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Account {
-    asked: u64,
+    requested: u64,
     served: u64,
 }
 
@@ -52,69 +52,68 @@
     served: bool,
 }
 
-/// Units asked and served by customer. A unit is one token read or half a token
-/// made.
+/// Units requested and received by customer. A unit is one input token or half an output token.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     accounts: HashMap<String, Account>,
     events: VecDeque<Event>,
-    /// Units that are to be divided in a window; none where that is not known.
+    /// Units to be divided within a window; `None` if that is not known.
     nominal: Option<f64>,
 }
 
 impl Shares {
-    /// What the engines are meant to do in a second, in units; customers are owed
-    /// equal parts of it, also where engines happen to do more.
+    /// Sets the nominal capacity of the engines in units per second. Customers are entitled to
+    /// equal parts of it, even if engines happen to do more.
     pub fn set_nominal(&mut self, units_per_second: u64) {
         let in_window = units_per_second as f64 * WINDOW_MS as f64 / 1_000.0;
         self.nominal = (units_per_second > 0).then_some(in_window);
     }
 
-    /// A customer asks for `units`.
-    pub fn asked(&mut self, now: Millis, customer: &str, units: u64) {
+    /// Records that a customer requests `units`.
+    pub fn record_demand(&mut self, now: Millis, customer: &str, units: u64) {
         self.record(now, customer, units, false);
     }
 
-    /// A customer's request was placed.
-    pub fn served(&mut self, now: Millis, customer: &str, units: u64) {
+    /// Records that a customer's request was placed.
+    pub fn record_service(&mut self, now: Millis, customer: &str, units: u64) {
         self.record(now, customer, units, true);
     }
 
     fn record(&mut self, now: Millis, customer: &str, units: u64, served: bool) {
-        self.forget(now);
+        self.expire(now);
         let account = match self.accounts.get_mut(customer) {
             Some(account) => account,
             None => self.accounts.entry(customer.to_string()).or_default(),
         };
         match served {
             true => account.served += units,
-            false => account.asked += units,
+            false => account.requested += units,
         }
         self.events.push_back(Event { at: now, customer: customer.to_string(), units, served });
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn expire(&mut self, now: Millis) {
         while self.events.front().is_some_and(|e| e.at + WINDOW_MS <= now) {
             let Some(event) = self.events.pop_front() else { return };
             let Some(account) = self.accounts.get_mut(&event.customer) else { continue };
             match event.served {
                 true => account.served -= event.units,
-                false => account.asked -= event.units,
+                false => account.requested -= event.units,
             }
-            if account.asked == 0 && account.served == 0 {
+            if account.requested == 0 && account.served == 0 {
                 self.accounts.remove(&event.customer);
             }
         }
     }
 
-    /// What a customer got so far.
-    pub fn standing(&self, customer: &str) -> Standing {
-        let Some(account) = self.accounts.get(customer) else { return Standing::default() };
+    /// Service that a customer received in the window, relative to its share.
+    pub fn usage(&self, customer: &str) -> ShareUsage {
+        let Some(account) = self.accounts.get(customer) else { return ShareUsage::default() };
         let levels = self.levels();
         let served = account.served as f64;
         let over = |level: f64| if level > 0.0 { served / level } else { 0.0 };
-        let owed = (account.asked as f64).min(levels.owed);
-        Standing {
+        let owed = (account.requested as f64).min(levels.owed);
+        ShareUsage {
             ratio: over(levels.owed),
             fulfilment: if owed > 0.0 { served / owed } else { 1.0 },
             relative: over(levels.served),
@@ -123,7 +122,7 @@
 
     fn levels(&self) -> Levels {
         let mut demands: Vec<_> =
-            self.accounts.values().map(|a| a.asked.max(a.served) as f64).collect();
+            self.accounts.values().map(|a| a.requested.max(a.served) as f64).collect();
         demands.sort_unstable_by(f64::total_cmp);
         let served = level_of(self.accounts.values().map(|a| a.served as f64).sum(), &demands);
         let owed = match self.nominal {
@@ -134,17 +133,17 @@
     }
 }
 
-/// The most that any customer gets of a division in equal parts, max-min by what was
-/// asked.
+/// The largest amount that any customer gets of an equal division, max-min fair by what was
+/// requested.
 #[derive(Clone, Copy, Debug)]
 struct Levels {
-    /// Of all that was served.
+    /// Of all service.
     served: f64,
-    /// Of what engines are meant to do, or of all that was served where that is less.
+    /// Of the nominal capacity, or of all service if that is less.
     owed: f64,
 }
 
-/// The level at which `total` is divided among demands in rising order.
+/// The level at which `total` is divided among demands in ascending order.
 fn level_of(total: f64, demands: &[f64]) -> f64 {
     let mut left = total;
     let mut customers = demands.len();
--- a/src/placement/tests/rate.rs
+++ b/src/placement/tests/rate.rs
@@ -1,19 +1,18 @@
-//! How fast engines are taken to read.
+//! Learned reading rates.
 
 use std::collections::{BTreeMap, HashSet};
 
 use super::*;
 
-/// Tokens that these engines read in a millisecond, ten times what their part of the
-/// fleet's nominal tokens says.
+/// Tokens that these engines read per millisecond, ten times the rate derived from the fleet's
+/// nominal tokens.
 const TRUE_RATE: f64 = 50.0;
 const ENGINES: usize = 300;
-/// Milliseconds to a first event beyond reading.
-const FIXED_MS: u64 = 55;
+/// Milliseconds to a first event in addition to reading.
+const FIRST_EVENT_OVERHEAD_MS: u64 = 55;
 
-/// Many engines with little to do: a request every 20 ms, four in a row
-/// with one shared part. Each
-/// prompt takes what it takes at the true rate. Returns the requests refused of the
+/// Many engines under light load: a request every 20 ms, four in a row with the same shared part.
+/// Each prompt takes the time given by the true rate. Returns the number of refused requests in the
 /// second half.
 fn refused(requests: u64) -> usize {
     let mut placer = Placer::new(PlacementRules::default());
@@ -36,7 +35,7 @@
             FromPlacer::Go { endpoint, .. } => {
                 let tokens = if kept.insert((endpoint, shared)) { 10_500.0 } else { 500.0 };
                 let read_ms = (tokens / TRUE_RATE) as u64;
-                running.insert((now + read_ms + FIXED_MS, seq), ());
+                running.insert((now + read_ms + FIRST_EVENT_OVERHEAD_MS, seq), ());
             }
             _ if seq > requests / 2 => refused += 1,
             _ => {}
@@ -46,6 +45,6 @@
 }
 
 #[test]
-fn what_some_engines_read_is_believed_of_those_that_have_read_nothing() {
+fn the_learned_rate_applies_to_engines_without_observations() {
     assert_eq!(refused(500), 0);
 }
--- a/src/telemetry/gateway.rs
+++ b/src/telemetry/gateway.rs
@@ -12,27 +12,27 @@
     pub outcomes: IntCounterVec,
     /// Requests sent to one more endpoint, by service.
     pub retries: IntCounterVec,
-    /// Requests whose endpoint ended their connection before the whole answer, by service.
-    pub lost: IntCounterVec,
-    /// What answers say of their endpoints, by service.
+    /// Requests whose endpoint closed the connection before the complete answer, by service.
+    pub lost_answers: IntCounterVec,
+    /// Notices that answers carry about their endpoint, by service and notice.
     pub notices: IntCounterVec,
-    /// Checks of endpoints that started again, by service and outcome.
+    /// Checks of restarted endpoints, by service and outcome.
     pub start_checks: IntCounterVec,
-    /// Streams taken up at another endpoint, by service.
+    /// Streams resumed on another endpoint, by service.
     pub resumed: IntCounterVec,
-    /// Requests while a release is rolled out, by service, release and outcome.
+    /// Requests during a roll-out, by service, release and outcome.
     pub rollout_requests: IntCounterVec,
     /// Requests sent to an endpoint of another region, by service.
-    pub across: IntCounterVec,
-    /// Callers' connections that other routers were asked to take, by their answer.
+    pub sent_to_other_region: IntCounterVec,
+    /// Callers' connections that other routers were asked to take over, by their answer.
     pub handed_over: IntCounterVec,
     /// Seconds from arrival to the head of the answer, by service.
     pub first_answer: HistogramVec,
     /// The routing version in force.
     pub routing_version: IntGauge,
-    /// Control hosts whose feeds are open.
+    /// Number of control hosts whose feeds are open.
     pub open_feeds: IntGauge,
-    /// Milliseconds for which the feed that is silent longest has said nothing.
+    /// Milliseconds since the last message of the feed that has been silent longest.
     pub feed_silence_ms: IntGauge,
 }
 
@@ -53,7 +53,7 @@
             registry: Registry::new(),
             outcomes: counter("requests_total", "Requests.", &["service", "outcome"])?,
             retries: counter("retries_total", "Requests sent again.", &["service"])?,
-            lost: counter("lost_answers_total", "Answers that broke off.", &["service"])?,
+            lost_answers: counter("lost_answers_total", "Answers that broke off.", &["service"])?,
             notices: counter(
                 "notices_total",
                 "Answers that say that their endpoint leaves or wants rest.",
@@ -70,7 +70,7 @@
                 "Requests by release during a roll-out.",
                 &["service", "release", "outcome"],
             )?,
-            across: counter(
+            sent_to_other_region: counter(
                 "sent_to_other_region_total",
                 "Requests sent to another region.",
                 &["service"],
@@ -84,12 +84,12 @@
         let registry = &metrics.registry;
         registry.register(Box::new(metrics.outcomes.clone()))?;
         registry.register(Box::new(metrics.retries.clone()))?;
-        registry.register(Box::new(metrics.lost.clone()))?;
+        registry.register(Box::new(metrics.lost_answers.clone()))?;
         registry.register(Box::new(metrics.notices.clone()))?;
         registry.register(Box::new(metrics.start_checks.clone()))?;
         registry.register(Box::new(metrics.resumed.clone()))?;
         registry.register(Box::new(metrics.rollout_requests.clone()))?;
-        registry.register(Box::new(metrics.across.clone()))?;
+        registry.register(Box::new(metrics.sent_to_other_region.clone()))?;
         registry.register(Box::new(metrics.handed_over.clone()))?;
         registry.register(Box::new(metrics.first_answer.clone()))?;
         registry.register(Box::new(metrics.routing_version.clone()))?;
@@ -107,14 +107,14 @@
     }
 }
 
-/// Some whole numbers as gauges, in the text format.
-pub fn render_gauges(prefix: &str, figures: &[(&str, u64)]) -> String {
+/// Integer values as gauges, in the text format.
+pub fn render_gauges(prefix: &str, values: &[(&str, u64)]) -> String {
     let registry = Registry::new();
-    for (name, figure) in figures {
+    for (name, value) in values {
         let gauge = IntGauge::new(format!("{prefix}_{name}"), name.replace('_', " "));
         // Names are constants, distinct and legal.
         let gauge = gauge.expect("a legal name");
-        gauge.set(i64::try_from(*figure).unwrap_or(i64::MAX));
+        gauge.set(i64::try_from(*value).unwrap_or(i64::MAX));
         registry.register(Box::new(gauge)).expect("a distinct name");
     }
     let mut text = Vec::new();
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -165,7 +165,7 @@
         self.limit = limit;
     }
 
-    /// The same reader, whose reads fail with [`Error::Silent`] once nothing has arrived for
+    /// The same reader, whose reads fail with [`Error::SilenceTimeout`] once nothing has arrived for
     /// [`SILENCE_TIMEOUT`].
     pub fn with_silence_timeout(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
         let mut inner = TimeoutReader::new(self.inner);
@@ -350,7 +350,7 @@
 
 fn read_error(source: std::io::Error) -> Error {
     match source.kind() {
-        std::io::ErrorKind::TimedOut => Error::Silent,
+        std::io::ErrorKind::TimedOut => Error::SilenceTimeout,
         _ => net_error("read from a peer", source),
     }
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -72,7 +72,7 @@
     let newer = [&[PROTOCOL + 1][..], &unversioned].concat();
     for other in [unversioned, newer] {
         let decoded = decode_versioned::<ToDispatcher>(&other);
-        assert!(matches!(decoded, Err(Error::OtherProtocol { ours: PROTOCOL, .. })));
+        assert!(matches!(decoded, Err(Error::ProtocolMismatch { ours: PROTOCOL, .. })));
     }
     assert!(decode_versioned::<ToDispatcher>(&[]).is_err());
 }
@@ -105,6 +105,6 @@
     let (_a, b) = tokio::io::duplex(1 << 16);
     let started = tokio::time::Instant::now();
     let silent = FrameReader::new(b).with_silence_timeout().next::<Vec<ToDispatcher>>().await;
-    assert!(matches!(silent, Err(Error::Silent)));
+    assert!(matches!(silent, Err(Error::SilenceTimeout)));
     assert_eq!(started.elapsed().as_secs_f64().round() as u64, SILENCE_TIMEOUT.as_secs());
 }
--- a/tests/scenarios/steps.rs
+++ b/tests/scenarios/steps.rs
@@ -80,7 +80,7 @@
 #[when(regex = r"^control host (\d+) is let in again$")]
 async fn let_in(w: &mut FleetWorld, number: u16) {
     let fleet = w.fleet();
-    let host = fleet.site.control(number - 1).host.number().0;
+    let host = fleet.site.control(number - 1).host.host_id().0;
     until("the leader lets the store in", async || {
         let leader = fleet.leader().await;
         let operator = fleet.site.control_operator(leader - 1);
@@ -121,8 +121,8 @@
 async fn one_sided(w: &mut FleetWorld, from: u16, to: u16) {
     let fleet = w.fleet();
     let (from, to) = (fleet.site.router(from - 1), fleet.site.router(to - 1));
-    let cut_to = vec![to.host.number().0];
-    let cut_from = vec![from.host.number().0];
+    let cut_to = vec![to.host.host_id().0];
+    let cut_from = vec![from.host.host_id().0];
     fleet.rehearse(from.operator, proto::RehearseRequest { cut_to, ..Default::default() }).await;
     fleet.rehearse(to.operator, proto::RehearseRequest { cut_from, ..Default::default() }).await;
 }
@@ -265,7 +265,7 @@
 async fn call(w: &mut FleetWorld, router: u16, request: Request<Body>) {
     // The platform's balancer sends nothing to a router that is not ready.
     w.fleet().wait_ready(router - 1).await;
-    let address = w.fleet().site.callers(router - 1);
+    let address = w.fleet().site.router_address(router - 1);
     let mut request = request;
     let path = request.uri().to_string();
     *request.uri_mut() = format!("http://{address}{path}").parse().unwrap();
@@ -294,7 +294,7 @@
 #[when(regex = r"^(\S+) buys seat (\S+) through router (\d+)$")]
 async fn buys(w: &mut FleetWorld, customer: String, seat: String, router: u16) {
     let site = &w.fleet().site;
-    let path = format!("/{}{}/{seat}", site.plain, site.once_path);
+    let path = format!("/{}{}/{seat}", site.plain, site.run_once_path);
     let mut request = post(&path, &customer, json!({"seat": seat}).to_string());
     request.headers_mut().insert(header::KEY, seat.parse().unwrap());
     call(w, router, request).await;
