--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -117,7 +117,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     };
-    let answered = tokio::time::timeout(crate::testing::NEVER, asking).await;
+    let answered = tokio::time::timeout(crate::testing::WAIT_TIMEOUT, asking).await;
     assert!(answered.is_ok(), "the placer is never asked on a new connection");
 }
 
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -20,7 +20,7 @@
 const PEER_PORT: u16 = 7_400;
 const PAUSE: Duration = Duration::from_millis(20);
 /// What does not come in this time does not come at all.
-pub const NEVER: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The address of a host of a test; each test has numbers of its own. Other test runs
 /// on this machine do not use it.
@@ -81,7 +81,7 @@
             tokio::time::sleep(PAUSE).await;
         }
     };
-    tokio::time::timeout(NEVER, waiting).await.expect("it comes about");
+    tokio::time::timeout(WAIT_TIMEOUT, waiting).await.expect("it comes about");
 }
 
 /// A fixed seed, so that every run gives the same verdict. `PROPERTY_CASES` and
