--- a/src/dispatch/capacity.rs
+++ b/src/dispatch/capacity.rs
@@ -70,12 +70,12 @@
 }
 
 impl EndpointEntry {
-    fn takes_work(&self) -> bool {
+    fn accepts_requests(&self) -> bool {
         !self.leaving && self.leaving_reports.is_empty()
     }
 
     fn usable(&self, now: Millis, router: HostId, reach: HallSet) -> bool {
-        if !self.takes_work() || !reach.contains(self.hall) {
+        if !self.accepts_requests() || !reach.contains(self.hall) {
             return false;
         }
         if self.rests.get(&router).is_some_and(|r| r.remaining(now).is_some() || r.is_probing(now))
@@ -185,13 +185,13 @@
 
     /// Slots of endpoints that accept new requests.
     pub fn slots(&self) -> u32 {
-        let active = self.endpoints.values().filter(|e| e.takes_work());
+        let active = self.endpoints.values().filter(|e| e.accepts_requests());
         active.map(|e| e.slots).sum()
     }
 
     /// Whether any endpoint in reach accepts new requests, now or after a rest or failure.
     pub fn serves(&self, reach: HallSet) -> bool {
-        self.endpoints.values().any(|e| e.takes_work() && reach.contains(e.hall))
+        self.endpoints.values().any(|e| e.accepts_requests() && reach.contains(e.hall))
     }
 
     /// Milliseconds until the first endpoint in reach ends the rest that it requested from
@@ -202,7 +202,7 @@
         router: HostId,
         reach: HallSet,
     ) -> Option<Millis> {
-        let in_reach = |e: &&EndpointEntry| e.takes_work() && reach.contains(e.hall);
+        let in_reach = |e: &&EndpointEntry| e.accepts_requests() && reach.contains(e.hall);
         let mut rests = self.endpoints.values().filter(in_reach).map(|e| e.rests.get(&router));
         let first = rests.next()??.remaining(now)?;
         rests.try_fold(first, |shortest, rest| Some(shortest.min(rest?.remaining(now)?)))
@@ -211,7 +211,7 @@
     /// Whether any endpoint has room.
     pub fn has_room(&self) -> bool {
         let room = |e: &EndpointEntry| e.outstanding < e.slots + self.max_queued(e.slots);
-        self.endpoints.values().any(|e| e.takes_work() && room(e))
+        self.endpoints.values().any(|e| e.accepts_requests() && room(e))
     }
 
     /// The endpoint to run a request on: of those with a free slot, the one that likely has
@@ -335,7 +335,7 @@
             endpoint: *id,
             slots: e.slots,
             outstanding: e.outstanding,
-            leaving: !e.takes_work(),
+            leaving: !e.accepts_requests(),
         };
         self.endpoints.iter().map(load).collect()
     }
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -85,7 +85,7 @@
 
     /// Whether an endpoint may be sent a request at this moment. It may have begun to leave or
     /// rest while the request was placed or waited for a connection.
-    pub(super) fn takes_work(&self, endpoint: &Registration) -> bool {
+    pub(super) fn accepts_requests(&self, endpoint: &Registration) -> bool {
         let now = self.now();
         self.registry.read(|registry| registry.start_takes_work(endpoint))
             && self.with_endpoints(|endpoints| {
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -82,7 +82,7 @@
 
     /// Whether it may be sent to an endpoint, as far as is known at this moment.
     pub(super) fn may_be_sent_to(&self, endpoint: &Registration) -> bool {
-        self.gateway.takes_work(endpoint)
+        self.gateway.accepts_requests(endpoint)
             && self.crash_refusal().is_none()
             && self
                 .eligibility()
@@ -155,15 +155,16 @@
             gateway.rollouts.grant(gateway.now(), &self.service, rollout.number)
         });
         // Computed before taking the lock: it may visit many endpoints while old ones leave.
-        let others_take_work = rollout.is_none_or(|rollout| self.others_take_work(rollout));
+        let others_accept_requests =
+            rollout.is_none_or(|rollout| self.others_accept_requests(rollout));
         let grant = grant.as_ref();
-        let state = RouterState { rollout, grant, others_take_work };
+        let state = RouterState { rollout, grant, others_accept_requests };
         let mut choice = self.release_choice();
         gateway.with_releases(|releases| f(releases, &mut choice, &state))
     }
 
     /// Whether an endpoint of a release other than the new one could run it.
-    fn others_take_work(&self, rollout: &Rollout) -> bool {
+    fn others_accept_requests(&self, rollout: &Rollout) -> bool {
         if rollout.stage.is_final() {
             return true;
         }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -92,13 +92,13 @@
     }
 
     /// Whether it may be sent requests at all.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.is_ready && !self.is_replaced
     }
 
     /// Whether other engines are preferred for requests of a router.
     pub fn should_avoid(&self, now: Millis, router: HostId) -> bool {
-        !self.takes_work()
+        !self.accepts_requests()
             || self.model.is_excluded(now)
             || self.model.is_stalled(now)
             || self.rests.should_avoid(now, router)
@@ -314,7 +314,7 @@
 
     /// Whether an engine may be sent the request at all.
     fn is_candidate(&self, engine: &Engine, request: &PlacementRequest) -> bool {
-        engine.takes_work()
+        engine.accepts_requests()
             && engine.service == request.service
             && !engine.rests.is_resting(self.now, self.router)
             && request.eligibility.allows(engine.candidate())
--- a/src/placement/copy.rs
+++ b/src/placement/copy.rs
@@ -105,5 +105,7 @@
 }
 
 fn can_copy(engine: &Engine, now: Millis) -> bool {
-    engine.takes_work() && engine.copy_ms_per_token.is_some() && !engine.model.is_excluded(now)
+    engine.accepts_requests()
+        && engine.copy_ms_per_token.is_some()
+        && !engine.model.is_excluded(now)
 }
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -356,7 +356,7 @@
 
     /// The current registration of an endpoint, if it takes new work.
     pub fn get_ready(&self, id: &str) -> Option<&Registration> {
-        self.get(id).filter(|endpoint| self.takes_work(endpoint))
+        self.get(id).filter(|endpoint| self.accepts_requests(endpoint))
     }
 
     /// All endpoints that have registered, including ended ones.
@@ -366,12 +366,12 @@
 
     /// Endpoints of a service that take new work.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Registration> {
-        let is_ready = move |r: &&Registration| r.service == service && self.takes_work(r);
+        let is_ready = move |r: &&Registration| r.service == service && self.accepts_requests(r);
         self.all().chain(self.remembered.values()).filter(is_ready)
     }
 
     /// Whether an endpoint takes new work: it is ready, and its data hall is not drained.
-    fn takes_work(&self, endpoint: &Registration) -> bool {
+    fn accepts_requests(&self, endpoint: &Registration) -> bool {
         endpoint.state == EndpointState::Ready && !self.drained.contains(&endpoint.hall)
     }
 }
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -74,7 +74,7 @@
     /// The leader's grant, if one is valid.
     pub grant: Option<&'a Grant>,
     /// Whether an endpoint of an old release takes work and could run the request.
-    pub others_take_work: bool,
+    pub others_accept_requests: bool,
 }
 
 /// Remainders of the routes of a service during one rollout.
@@ -126,7 +126,7 @@
         rollout: &Rollout,
         state: &RouterState<'_>,
     ) -> (VersionRule, SplitReason) {
-        if !state.others_take_work {
+        if !state.others_accept_requests {
             return (VersionRule::Any, SplitReason::NoOther);
         }
         let Some(grant) = state.grant else { return (not_new(rollout), SplitReason::NoGrant) };
--- a/src/rollout/tests/split.rs
+++ b/src/rollout/tests/split.rs
@@ -10,7 +10,7 @@
 struct Scenario {
     rollout: Rollout,
     grant: Option<Grant>,
-    others_take_work: bool,
+    others_accept_requests: bool,
 }
 
 impl Scenario {
@@ -20,7 +20,7 @@
         Scenario {
             rollout: Rollout { number: 1, order: order("v2", 0), stage, stage_at_ms: 0 },
             grant: permille.map(grant),
-            others_take_work: true,
+            others_accept_requests: true,
         }
     }
 
@@ -40,7 +40,7 @@
     fn with<T>(&self, f: impl FnOnce(&RouterState<'_>) -> T) -> T {
         let grant = self.grant.as_ref();
         let rollout = Some(&self.rollout);
-        f(&RouterState { rollout, grant, others_take_work: self.others_take_work })
+        f(&RouterState { rollout, grant, others_accept_requests: self.others_accept_requests })
     }
 }
 
@@ -99,7 +99,7 @@
     for stage in [Stage::Canary, Stage::Shifting] {
         let mut scenario = Scenario::new(stage, None);
         assert_eq!(scenario.first(), not_new());
-        scenario.others_take_work = false;
+        scenario.others_accept_requests = false;
         assert_eq!(scenario.first(), Some(VersionRule::Any));
     }
 }
@@ -129,7 +129,7 @@
     assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), only("v2", 9));
     scenario.rollout.stage = Stage::RolledBack;
     assert_eq!(scenario.rule(&mut splitter, &mut choice, 0.5), not_new());
-    scenario.others_take_work = false;
+    scenario.others_accept_requests = false;
     assert_eq!(scenario.first(), not_new());
     let mut bound = ReleaseChoice::default();
     bound.bind("v2");
@@ -171,7 +171,7 @@
     assert_eq!(cut_off.rule(&mut splitter, &mut choice, 0.0), None);
     let ended = Scenario::new(Stage::Done, None);
     assert_eq!(ended.rule(&mut splitter, &mut choice, 0.0), only("v2", u32::MAX));
-    let state = RouterState { rollout: None, grant: None, others_take_work: true };
+    let state = RouterState { rollout: None, grant: None, others_accept_requests: true };
     assert_eq!(splitter.rule(&mut choice, "chat", 0.0, &state).0, only("v2", u32::MAX));
 }
 
@@ -207,7 +207,7 @@
 
 #[test]
 fn without_a_rollout_any_release_may_serve() {
-    let state = RouterState { rollout: None, grant: None, others_take_work: true };
+    let state = RouterState { rollout: None, grant: None, others_accept_requests: true };
     let (rule, reason) =
         TrafficSplitter::default().rule(&mut ReleaseChoice::default(), "chat", 0.5, &state);
     assert_eq!((rule, reason), (Some(VersionRule::Any), SplitReason::NoRollout));
--- a/src/router/notices.rs
+++ b/src/router/notices.rs
@@ -73,7 +73,7 @@
 
 impl Router {
     /// Whether an endpoint may be sent a request now.
-    pub(super) fn accepts_work(&self, endpoint: EndpointId) -> bool {
+    pub(super) fn accepts_requests(&self, endpoint: EndpointId) -> bool {
         let now = self.peers.clock.now();
         !self.is_leaving(endpoint) && self.notices.remaining_rest(now, endpoint).is_none()
     }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -225,7 +225,7 @@
             return NextStep::Finish(refused);
         }
         let declared =
-            config.endpoints.get(&endpoint).filter(|_| self.router.accepts_work(endpoint));
+            config.endpoints.get(&endpoint).filter(|_| self.router.accepts_requests(endpoint));
         let Some(declared) = declared else {
             ticket.finish(0, Completion::Unused);
             return NextStep::Retry { is_free: true, fallback: endpoints_refuse() };
@@ -244,7 +244,7 @@
             }
         };
         // The endpoint may have begun to leave or to rest while the key was being claimed.
-        if !self.router.accepts_work(endpoint) {
+        if !self.router.accepts_requests(endpoint) {
             if let Some(claim) = claim {
                 run_once::settle(&self.router, claim, &Attempt::NotSent).await;
             }
--- a/tests/starts/day.rs
+++ b/tests/starts/day.rs
@@ -105,7 +105,7 @@
         Start { begins, ends, leaves_at, rest: rest_at..rest_at + rest_ms, known_at, used_at: None }
     }
 
-    fn takes_work(&self, now: u64) -> bool {
+    fn accepts_requests(&self, now: u64) -> bool {
         now >= self.begins && now < self.ends.min(self.leaves_at) && !self.rest.contains(&now)
     }
 
@@ -274,7 +274,7 @@
             if until < from + USABLE_MS || until > DAWN_MS + DAY_MS {
                 continue;
             }
-            debug_assert!(start.takes_work(from));
+            debug_assert!(start.accepts_requests(from));
             self.figures.usable += 1;
             match start.used_at {
                 Some(at) if at < until => {
