--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -22,7 +22,8 @@
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
 use bramblecrank::wire::{
-    Beat, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Role, ToDispatcher,
+    Completion, FromDispatcher, GrantRequest, Heartbeat, HeartbeatMessage, HostId, Role,
+    ToDispatcher,
 };
 
 fn main() {
@@ -86,8 +87,8 @@
     let done = ToDispatcher::Done { seq: 100_000, units: 1_500, completion: Completion::Answered };
     row("done", 1, bytes(&done), "B");
     row("progress", 1, bytes(&ToDispatcher::Progress { seq: 100_000, units: 1_500 }), "B");
-    row("whole heartbeat", 1, bytes(&Beat::Full(beat(7))), "B");
-    let brief = Beat::Brief {
+    row("whole heartbeat", 1, bytes(&HeartbeatMessage::Full(beat(7))), "B");
+    let brief = HeartbeatMessage::Brief {
         host: HostId(7),
         incarnation: 1_796_205_361_634,
         version: 123_456,
@@ -164,14 +165,15 @@
     for hosts in [10u32, 50, 200, 340] {
         let mut table = Members::new(beat(0), vec![], Default::default());
         for host in 1..hosts {
-            table.on_heartbeat(0, beat(host).peer, Beat::Full(beat(host)));
+            table.on_heartbeat(0, beat(host).peer, HeartbeatMessage::Full(beat(host)));
         }
         let start = Instant::now();
         for round in 0..200 {
             for h in 1..hosts {
                 let host = HostId(h);
                 let incarnation = 1_796_205_361_634;
-                let brief = Beat::Brief { host, incarnation, version: 1, draining: false };
+                let brief =
+                    HeartbeatMessage::Brief { host, incarnation, version: 1, draining: false };
                 table.on_heartbeat(round, beat(h).peer, brief);
             }
         }
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -8,7 +8,7 @@
 use crate::config::ServiceId;
 use crate::dispatch::Millis;
 use crate::settings::HeartbeatScope;
-use crate::wire::{Beat, Heartbeat, HostId, Role};
+use crate::wire::{Heartbeat, HeartbeatMessage, HostId, Role};
 
 /// Milliseconds between two heartbeats.
 pub const HEARTBEAT_MS: Millis = 500;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its last full heartbeat, updated from brief ones.
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// When its last heartbeat arrived, in milliseconds.
     pub last_heard: Millis,
     /// Until when it is avoided after a failed connection, in milliseconds.
@@ -128,60 +128,61 @@
         &mut self,
         now: Millis,
         from: SocketAddr,
-        beat: Beat,
-    ) -> Option<(SocketAddr, Beat)> {
-        match beat {
-            Beat::Full(beat) => {
-                let answer_to = self.on_full_heartbeat(now, beat)?;
+        heartbeat: HeartbeatMessage,
+    ) -> Option<(SocketAddr, HeartbeatMessage)> {
+        match heartbeat {
+            HeartbeatMessage::Full(heartbeat) => {
+                let answer_to = self.on_full_heartbeat(now, heartbeat)?;
                 Some((answer_to, self.full_heartbeat()))
             }
-            Beat::Brief { host, incarnation, version, draining } => {
+            HeartbeatMessage::Brief { host, incarnation, version, draining } => {
                 let known = self.members.get_mut(&host);
-                let Some(member) = known.filter(|m| m.beat.incarnation == incarnation) else {
+                let Some(member) = known.filter(|m| m.heartbeat.incarnation == incarnation) else {
                     self.unknown_heartbeats += 1;
-                    return Some((from, Beat::RequestFull(self.me.clone())));
+                    return Some((from, HeartbeatMessage::RequestFull(self.me.clone())));
                 };
-                member.beat.version = version;
-                member.beat.draining = draining;
+                member.heartbeat.version = version;
+                member.heartbeat.draining = draining;
                 member.last_heard = now;
                 None
             }
-            Beat::RequestFull(beat) => {
-                let asker = beat.peer;
-                self.on_full_heartbeat(now, beat);
-                Some((asker, self.full_heartbeat()))
+            HeartbeatMessage::RequestFull(heartbeat) => {
+                let requester = heartbeat.peer;
+                self.on_full_heartbeat(now, heartbeat);
+                Some((requester, self.full_heartbeat()))
             }
         }
     }
 
     /// Records a full heartbeat. Returns the sender's address if it has just started and
     /// this host exchanges heartbeats with it.
-    fn on_full_heartbeat(&mut self, now: Millis, beat: Heartbeat) -> Option<SocketAddr> {
-        if beat.host == self.me.host {
+    fn on_full_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> Option<SocketAddr> {
+        if heartbeat.host == self.me.host {
             return None;
         }
-        if let Some(address) = beat.also {
+        if let Some(address) = heartbeat.also {
             self.add_seed(address);
         }
-        let known = self.members.get(&beat.host);
+        let known = self.members.get(&heartbeat.host);
         // An incarnation is the clock at the start, and clocks may be set back. A lower one is
         // a late heartbeat while the higher one is heard, and a restart once that is silent.
         let is_late = |m: &Member| {
-            m.beat.incarnation > beat.incarnation && now < m.last_heard + SUSPECT_AFTER_MS
+            m.heartbeat.incarnation > heartbeat.incarnation && now < m.last_heard + SUSPECT_AFTER_MS
         };
         if known.is_some_and(is_late) {
             return None;
         }
-        let restarted = known.is_none_or(|m| m.beat.incarnation != beat.incarnation);
+        let restarted = known.is_none_or(|m| m.heartbeat.incarnation != heartbeat.incarnation);
         let avoid_until = match known {
             Some(member) if !restarted => member.avoid_until,
             _ => 0,
         };
         // A host that has just started needs a full heartbeat of this one.
         self.full_heartbeat_due |= restarted;
-        let answer_to = (restarted && self.exchanges_with(beat.role)).then_some(beat.peer);
-        let host = beat.host;
-        let member = Member { beat, last_heard: now, avoid_until };
+        let answer_to =
+            (restarted && self.exchanges_with(heartbeat.role)).then_some(heartbeat.peer);
+        let host = heartbeat.host;
+        let member = Member { heartbeat, last_heard: now, avoid_until };
         self.members.insert(host, member);
         answer_to
     }
@@ -192,8 +193,8 @@
     }
 
     /// This host's full heartbeat.
-    pub fn full_heartbeat(&self) -> Beat {
-        Beat::Full(self.me.clone())
+    pub fn full_heartbeat(&self) -> HeartbeatMessage {
+        HeartbeatMessage::Full(self.me.clone())
     }
 
     /// Whether the table holds no other host.
@@ -221,14 +222,14 @@
     }
 
     /// The heartbeat to send now, and the addresses of its receivers.
-    pub fn next_heartbeat(&mut self) -> (Beat, Vec<SocketAddr>) {
-        let is_target = |m: &&Member| self.exchanges_with(m.beat.role);
+    pub fn next_heartbeat(&mut self) -> (HeartbeatMessage, Vec<SocketAddr>) {
+        let is_target = |m: &&Member| self.exchanges_with(m.heartbeat.role);
         let others = self.members.values().filter(is_target);
-        let mut targets: Vec<_> = others.map(|m| m.beat.peer).collect();
+        let mut targets: Vec<_> = others.map(|m| m.heartbeat.peer).collect();
         let is_announced =
-            |m: &&Member| self.scope == HeartbeatScope::All || m.beat.role == Role::Control;
+            |m: &&Member| self.scope == HeartbeatScope::All || m.heartbeat.role == Role::Control;
         let announced: Vec<_> =
-            self.members.values().filter(is_announced).map(|m| m.beat.peer).collect();
+            self.members.values().filter(is_announced).map(|m| m.heartbeat.peer).collect();
         let seeds_only = self.seeds.iter().filter(|s| **s != self.me.peer && !targets.contains(s));
         let seeds_only: Vec<_> = seeds_only.copied().collect();
         let also = announced.get(self.sent_count % announced.len().max(1)).copied();
@@ -238,16 +239,16 @@
         let is_full = is_due
             || self.sent_count <= INITIAL_FULL_HEARTBEATS
             || self.sent_count % FULL_HEARTBEAT_PERIOD == 1;
-        let beat = match is_full {
-            true => Beat::Full(Heartbeat { also, ..self.me.clone() }),
-            false => Beat::Brief {
+        let heartbeat = match is_full {
+            true => HeartbeatMessage::Full(Heartbeat { also, ..self.me.clone() }),
+            false => HeartbeatMessage::Brief {
                 host: self.me.host,
                 incarnation: self.me.incarnation,
                 version: self.me.version,
                 draining: self.me.draining,
             },
         };
-        (beat, targets)
+        (heartbeat, targets)
     }
 
     fn exchanges_with(&self, role: Role) -> bool {
@@ -258,7 +259,7 @@
     /// The live and suspected hosts at this time.
     pub fn view(&self, now: Millis) -> View {
         let is_live = |m: &&Member| now < m.last_heard + SUSPECT_AFTER_MS && now >= m.avoid_until;
-        let strip = |m: &Member| Heartbeat { also: None, ..m.beat.clone() };
+        let strip = |m: &Member| Heartbeat { also: None, ..m.heartbeat.clone() };
         let mut live: Vec<_> = self.members.values().filter(is_live).map(strip).collect();
         live.push(Heartbeat { also: None, ..self.me.clone() });
         live.sort_by_key(|m| m.host);
--- a/src/member/tests/network.rs
+++ b/src/member/tests/network.rs
@@ -6,7 +6,7 @@
 use super::super::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, MemberTable};
 use crate::dispatch::Millis;
 use crate::settings::HeartbeatScope;
-use crate::wire::{Beat, Heartbeat, HostId, Role};
+use crate::wire::{Heartbeat, HeartbeatMessage, HostId, Role};
 
 /// One-way delay between any two hosts, in milliseconds.
 const DELAY_MS: Millis = 1;
@@ -25,7 +25,7 @@
     arrives: Millis,
     from: SocketAddr,
     to: SocketAddr,
-    beat: Beat,
+    heartbeat: HeartbeatMessage,
 }
 
 /// Routers, numbered from 1, and control hosts, numbered after them. The control hosts are
@@ -113,9 +113,9 @@
         while let Some(datagram) = self.in_flight.pop_front_if(|d| d.arrives <= self.now) {
             let to = u32::from(datagram.to.port()) - 7_000;
             let Some(process) = self.processes.get_mut(&to) else { continue };
-            let answer = process.table.on_heartbeat(self.now, datagram.from, datagram.beat);
-            if let Some((answer_to, beat)) = answer {
-                self.send(address(to), answer_to, beat);
+            let answer = process.table.on_heartbeat(self.now, datagram.from, datagram.heartbeat);
+            if let Some((answer_to, heartbeat)) = answer {
+                self.send(address(to), answer_to, heartbeat);
             }
         }
     }
@@ -129,18 +129,18 @@
                 continue;
             }
             process.table.tick(now);
-            let (beat, targets) = process.table.next_heartbeat();
+            let (heartbeat, targets) = process.table.next_heartbeat();
             let alone = process.table.is_alone();
             process.heartbeat_due = now + process.interval;
             process.interval =
                 if alone { (process.interval * 2).min(HEARTBEAT_MS) } else { HEARTBEAT_MS };
             for to in targets {
-                self.send(address(host), to, beat.clone());
+                self.send(address(host), to, heartbeat.clone());
             }
         }
     }
 
-    fn send(&mut self, from: SocketAddr, to: SocketAddr, beat: Beat) {
+    fn send(&mut self, from: SocketAddr, to: SocketAddr, heartbeat: HeartbeatMessage) {
         let lost = self.losses.pop_front().unwrap_or(false);
         let to_deliver = self.to_deliver.entry((from, to)).or_default();
         if lost && *to_deliver == 0 {
@@ -149,13 +149,13 @@
         }
         *to_deliver = to_deliver.saturating_sub(1);
         let arrives = self.now + DELAY_MS;
-        self.in_flight.push_back(Datagram { arrives, from, to, beat });
+        self.in_flight.push_back(Datagram { arrives, from, to, heartbeat });
     }
 
     /// Whether `host` has the current incarnation of `other` as live.
     pub fn sees_live(&self, host: u32, other: u32) -> bool {
         let view = self.processes[&host].table.view(self.now);
-        let Beat::Full(current) = self.processes[&other].table.full_heartbeat() else {
+        let HeartbeatMessage::Full(current) = self.processes[&other].table.full_heartbeat() else {
             panic!("a full heartbeat has all fields");
         };
         view.get(HostId(other)).is_some_and(|m| m.incarnation == current.incarnation)
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -21,8 +21,8 @@
 use crate::member::{FIRST_HEARTBEAT_MS, HEARTBEAT_MS, MemberTable, View};
 use crate::settings::HostSettings;
 use crate::wire::{
-    Beat, FrameReader, Heartbeat, HostId, Open, Role, SentBytes, Traffic, UDP_HEADER_BYTES,
-    decode_versioned, encode_versioned, write_payload,
+    FrameReader, Heartbeat, HeartbeatMessage, HostId, Open, Role, SentBytes, Traffic,
+    UDP_HEADER_BYTES, decode_versioned, encode_versioned, write_payload,
 };
 
 pub use link::Links;
@@ -87,7 +87,7 @@
         let tcp = TcpListener::bind(listen).await.with_context(|_| NetSnafu { what: what() })?;
         let udp = UdpSocket::bind(listen).await.with_context(|_| NetSnafu { what: what() })?;
         let incarnation = epoch_ms();
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             host: settings.host_id(),
             incarnation,
             role,
@@ -98,7 +98,7 @@
             draining: false,
             also: None,
         };
-        let table = MemberTable::new(beat, settings.seed_peers(), settings.heartbeats);
+        let table = MemberTable::new(heartbeat, settings.seed_peers(), settings.heartbeats);
         let first = Arc::new(table.view(0));
         let peers = Arc::new(Peers {
             me: settings.host_id(),
@@ -236,20 +236,25 @@
     let mut pause_ms = FIRST_HEARTBEAT_MS;
     loop {
         let now = peers.clock.now();
-        let (beat, targets, alone) = peers.with_table(|t| {
+        let (heartbeat, targets, alone) = peers.with_table(|t| {
             t.tick(now);
-            let (beat, targets) = t.next_heartbeat();
-            (beat, targets, t.is_alone())
+            let (heartbeat, targets) = t.next_heartbeat();
+            (heartbeat, targets, t.is_alone())
         });
         let next = tokio::time::Instant::now() + Duration::from_millis(pause_ms);
         pause_ms = if alone { (pause_ms * 2).min(HEARTBEAT_MS) } else { HEARTBEAT_MS };
-        send_beat(&peers, &udp, &beat, targets).await;
+        send_heartbeat(&peers, &udp, &heartbeat, targets).await;
         tokio::time::sleep_until(next).await;
     }
 }
 
-async fn send_beat(peers: &Peers, udp: &UdpSocket, beat: &Beat, targets: Vec<SocketAddr>) {
-    let datagram = match encode_versioned(beat) {
+async fn send_heartbeat(
+    peers: &Peers,
+    udp: &UdpSocket,
+    heartbeat: &HeartbeatMessage,
+    targets: Vec<SocketAddr>,
+) {
+    let datagram = match encode_versioned(heartbeat) {
         Ok(datagram) => datagram,
         Err(error) => return log::error!("member: cannot encode a heartbeat: {error}"),
     };
@@ -272,31 +277,33 @@
         let Ok((size, from)) = udp.recv_from(&mut buffer).await else {
             continue;
         };
-        let beat = match decode_versioned::<Beat>(&buffer[..size]) {
-            Ok(beat) => beat,
+        let heartbeat = match decode_versioned::<HeartbeatMessage>(&buffer[..size]) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => {
                 peers.count_malformed(from, &error);
                 continue;
             }
         };
-        let sender = beat.host();
+        let sender = heartbeat.host();
         if peers.links.is_cut_from(sender) {
             continue;
         }
         let now = peers.clock.now();
-        let answer = peers.with_table(|t| t.on_heartbeat(now, from, beat));
+        let answer = peers.with_table(|t| t.on_heartbeat(now, from, heartbeat));
         if let Some((to, answer)) = answer.filter(|_| !peers.links.is_cut_to(sender)) {
             log_answer(sender, &answer);
-            send_beat(&peers, &udp, &answer, vec![to]).await;
+            send_heartbeat(&peers, &udp, &answer, vec![to]).await;
         }
     }
 }
 
-fn log_answer(to: HostId, answer: &Beat) {
+fn log_answer(to: HostId, answer: &HeartbeatMessage) {
     match answer {
-        Beat::RequestFull(_) => log::info!("member: unknown host {to}, requested a full heartbeat"),
-        Beat::Full(_) => log::info!("member: sent a full heartbeat to host {to}"),
-        Beat::Brief { .. } => {}
+        HeartbeatMessage::RequestFull(_) => {
+            log::info!("member: unknown host {to}, requested a full heartbeat")
+        }
+        HeartbeatMessage::Full(_) => log::info!("member: sent a full heartbeat to host {to}"),
+        HeartbeatMessage::Brief { .. } => {}
     }
 }
 
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -6,10 +6,10 @@
 use tokio::net::{TcpStream, UdpSocket};
 
 use crate::testing::{peer_address, start_peers, wait_until};
-use crate::wire::{Beat, Heartbeat, HostId, Open, PROTOCOL, Role, write_payload};
+use crate::wire::{Heartbeat, HeartbeatMessage, HostId, Open, PROTOCOL, Role, write_payload};
 
-fn beat(from: SocketAddr) -> Beat {
-    Beat::Full(Heartbeat {
+fn heartbeat(from: SocketAddr) -> HeartbeatMessage {
+    HeartbeatMessage::Full(Heartbeat {
         host: HostId(999),
         incarnation: 1,
         role: Role::Control,
@@ -28,7 +28,7 @@
 async fn heartbeats_and_connections_of_another_protocol_version_are_rejected() {
     let (peers, _incoming) = start_peers(Role::Control, 71, vec![]).await;
     let older = UdpSocket::bind(peer_address(72)).await.unwrap();
-    let unversioned = postcard::to_stdvec(&beat(peer_address(72))).unwrap();
+    let unversioned = postcard::to_stdvec(&heartbeat(peer_address(72))).unwrap();
     let newer = [&[PROTOCOL + 1][..], &unversioned].concat();
     for datagram in [&unversioned, &newer] {
         older.send_to(datagram, peers.address).await.unwrap();
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -67,7 +67,7 @@
 /// A heartbeat datagram. Most are brief; a full one is sent to new members, periodically,
 /// and on request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Beat {
+pub enum HeartbeatMessage {
     /// All fields.
     Full(Heartbeat),
     /// Only the fields that change.
@@ -86,12 +86,14 @@
     RequestFull(Heartbeat),
 }
 
-impl Beat {
+impl HeartbeatMessage {
     /// The sender.
     pub fn host(&self) -> HostId {
         match self {
-            Beat::Full(beat) | Beat::RequestFull(beat) => beat.host,
-            Beat::Brief { host, .. } => *host,
+            HeartbeatMessage::Full(heartbeat) | HeartbeatMessage::RequestFull(heartbeat) => {
+                heartbeat.host
+            }
+            HeartbeatMessage::Brief { host, .. } => *host,
         }
     }
 }
