--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -23,7 +23,7 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long an idle connection is kept if the endpoint does not state a time.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Most idle connections to one endpoint.
+/// Maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 12;
 /// Subtracted from the keep-alive time that an endpoint states.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
--- a/src/gateway/destination.rs
+++ b/src/gateway/destination.rs
@@ -10,8 +10,8 @@
 use crate::placement::{self, PlacementOutcome, PlacementRequest, Reservation};
 use crate::registry::Registration;
 
-/// Most requests to the placer for one destination, where this router knows that the
-/// endpoint chosen by the placer takes no work.
+/// Maximum number of requests to the placer for one destination. A request is repeated if the
+/// placer chooses an endpoint that, as this router has recorded, accepts no requests.
 const MAX_PLACEMENT_REQUESTS: usize = 3;
 
 /// Where a request is sent next.
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -38,7 +38,7 @@
 pub enum Failure {
     /// No connection could be opened.
     Unreachable,
-    /// Another endpoint answers at its address: this one is gone for good.
+    /// Another endpoint answers at its address, so this one has ended.
     Replaced,
     /// It rejected the request without running it.
     Rejected,
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -26,7 +26,7 @@
 use crate::peer::Incoming;
 use crate::wire::{Open, write_frame};
 
-/// Most routers that are asked before a connection is served here.
+/// Maximum number of routers that are asked before a connection is served here.
 const MAX_ROUTERS_ASKED: usize = 2;
 /// How long a caller may send nothing after connecting before its connection is served here,
 /// under the limits of this router.
@@ -151,7 +151,7 @@
     let socket = socket2::SockRef::from(requests.as_ref());
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let (read, mut write) = caller.into_split();
-    // The answer may report that its endpoint leaves, which this router has to learn too.
+    // The answer may report that its endpoint leaves, which this router has to record too.
     let on_leaving = || drop(tokio::spawn(fetch_leaving_report(gateway.clone(), neighbour)));
     let mut scanner = LeavingHeaderScanner::new(gateway.header_names.leaving.clone(), on_leaving);
     let relayed = tokio::select! {
--- a/src/gateway/header_names.rs
+++ b/src/gateway/header_names.rs
@@ -28,7 +28,7 @@
     pub deadline_ms: Option<u64>,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of output.
+    /// Maximum number of tokens of output.
     pub output_tokens: u32,
     /// The prompt's parts in order; the last is the request's own.
     pub parts: Vec<PromptPart>,
--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -19,11 +19,11 @@
 use crate::registry::{EndpointStart, Origin};
 use crate::wire::{Open, write_frame};
 
-/// Most bytes of a head that are scanned.
+/// Maximum number of bytes of a head that are scanned.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most header lines of a head that are parsed.
+/// Maximum number of header lines of a head that are parsed.
 const MAX_HEADERS: usize = 96;
-/// Most starts in one report: more than a fleet has endpoints.
+/// Maximum number of starts in one report: more than a fleet has endpoints.
 const MAX_LEAVING_STARTS: usize = 2_048;
 /// How long to wait for the report of another router.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -6,7 +6,7 @@
 use super::state::Assignment;
 use crate::registry::EndpointStart;
 
-/// Most characters of a path in a log line.
+/// Maximum number of characters of a path in a log line.
 const MAX_LOGGED_PATH_CHARS: usize = 80;
 
 impl Call {
--- a/src/gateway/neighbours.rs
+++ b/src/gateway/neighbours.rs
@@ -1,8 +1,8 @@
 //! Choosing the router of the data hall that is asked to accept a caller's connection, without
 //! I/O.
 //!
-//! With hundreds of routers most have spare capacity, and each knows its own load best: one is
-//! asked at random, and refuses if it has none.
+//! With hundreds of routers most have spare capacity, and only each itself has its current
+//! load: one is asked at random, and refuses if it has no capacity left.
 
 use std::collections::HashMap;
 
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -21,7 +21,7 @@
         response: &Response<Incoming>,
     ) -> bool {
         let status = response.status();
-        // The answer is another endpoint's and says nothing about the intended one.
+        // The answer is another endpoint's, so its notice does not apply to the intended one.
         if status == StatusCode::MISDIRECTED_REQUEST {
             return false;
         }
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -54,7 +54,7 @@
 const RESERVED_PERCENT: usize = 10;
 /// Percentage of the connections that callers may hold, from which the router is not ready
 /// for new ones.
-const CROWDED_PERCENT: usize = 80;
+const UNREADY_CONNECTIONS_PERCENT: usize = 80;
 
 impl OverloadRules {
     /// Connections that callers may hold: each may need one to an endpoint.
@@ -88,7 +88,7 @@
         self.handing_over = lag >= from;
         let limit =
             if self.is_unready { self.rules.ready_lag_ms } else { self.rules.unready_lag_ms };
-        let is_unready = lag >= Duration::from_millis(limit) || self.is_crowded();
+        let is_unready = lag >= Duration::from_millis(limit) || self.is_near_connection_limit();
         std::mem::replace(&mut self.is_unready, is_unready) != is_unready
     }
 
@@ -106,8 +106,8 @@
         self.connections = self.connections.saturating_sub(1);
     }
 
-    fn is_crowded(&self) -> bool {
-        self.connections * 100 >= self.rules.max_caller_connections() * CROWDED_PERCENT
+    fn is_near_connection_limit(&self) -> bool {
+        self.connections * 100 >= self.rules.max_caller_connections() * UNREADY_CONNECTIONS_PERCENT
     }
 
     /// Whether the router is ready for new connections.
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -27,9 +27,10 @@
     BodyTooSlow,
     /// The body was truncated.
     BodyBroken,
-    /// No endpoint of the service is known to take work.
+    /// No endpoint of the service is known to accept requests.
     NoEndpoint,
-    /// Endpoints of the service take work, but none in a region where the request may be served.
+    /// Endpoints of the service accept requests, but none in a region where the request may be
+    /// served.
     NoAllowedRegion,
     /// Each endpoint that may serve it has requested a rest from this router.
     EndpointsRest {
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -22,7 +22,7 @@
 use crate::rollout::ReleaseChoice;
 use crate::routing::Route;
 
-/// Most endpoints to which one request is sent when none of them runs it.
+/// Maximum number of endpoints to which one request is sent when none of them runs it.
 const MAX_ENDPOINTS_TRIED: usize = 4;
 /// A request with less time left than this is not sent to another endpoint.
 const MIN_REMAINING: Duration = Duration::from_millis(10);
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -21,7 +21,8 @@
 /// How often observations are reported to the leader: several times within the second in
 /// which a bad release must be detected, at few bytes each.
 const REPORT_INTERVAL: Duration = Duration::from_millis(180);
-/// Shortest interval between log lines about a service's share, in milliseconds.
+/// Shortest interval between log lines about the fraction of a service's requests that its
+/// new release gets, in milliseconds.
 const LOG_INTERVAL_MS: Millis = 1_000;
 
 /// This router's state of the releases of its services.
@@ -32,7 +33,7 @@
     logged_splits: BTreeMap<String, LoggedSplit>,
 }
 
-/// The share of a new release and the reason for it, as last logged.
+/// The fraction of requests for a new release and the reason for it, as last logged.
 #[derive(Debug, PartialEq, Eq)]
 struct LoggedSplit {
     number: u64,
@@ -42,7 +43,7 @@
 }
 
 impl Releases {
-    /// Logs a changed share of a service's requests for its new release.
+    /// Logs a changed fraction of a service's requests for its new release.
     fn log_split(
         &mut self,
         now: Millis,
@@ -129,7 +130,7 @@
         may_fall_back && self.release_choice().record_no_place_at_new(number)
     }
 
-    /// Whether it is assigned to a new release that gets only a part of the requests.
+    /// Whether it is assigned to a new release that gets only a fraction of the requests.
     pub(super) fn is_partial_traffic(&self, rule: &VersionRule) -> bool {
         let VersionRule::Only { version, .. } = rule else { return false };
         let number = self.rollout_number(|r| r.order.version == *version && !r.stage.is_final());
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -24,7 +24,7 @@
 
 /// How often a planned stop checks whether all requests have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long before the limit, at which the process is killed, a planned stop ends.
+/// Time by which a planned stop ends before the limit at which the process is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -101,7 +101,7 @@
 async fn accept(gateway: Arc<Gateway>, listener: TcpListener, closing: CancellationToken) {
     loop {
         match listener.accept().await {
-            // Closed before any request is read, so the caller may safely retry elsewhere.
+            // Closed before any request is read, so the caller may safely retry at another router.
             Ok((stream, _)) if !gateway.with_overload(Overload::try_add_connection) => drop(stream),
             Ok((stream, _)) => {
                 tokio::spawn(serve_caller(gateway.clone(), stream, closing.clone()));
--- a/src/gateway/start_checks.rs
+++ b/src/gateway/start_checks.rs
@@ -46,7 +46,7 @@
 }
 
 impl Gateway {
-    /// Starts a check of an endpoint that is registered as taking work and whose state is
+    /// Starts a check of an endpoint that is registered as ready and whose state is
     /// uncertain, unless one is in progress.
     pub(super) fn check_if_uncertain(self: &Arc<Self>, id: &str) {
         if self.uncertain_endpoint(id).is_some()
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -24,7 +24,7 @@
     call: Arc<Call>,
     source: Option<Source>,
     tried: Vec<String>,
-    /// Set if the stream may be resumed elsewhere: it is then relayed event by event.
+    /// Set if the stream may be resumed on another endpoint: it is then relayed event by event.
     splitter: Option<EventSplitter>,
 }
 
--- a/src/gateway/tests.rs
+++ b/src/gateway/tests.rs
@@ -280,7 +280,7 @@
     let mut overload = Overload::new(rules);
     assert_eq!((1..=100).filter(|_| overload.try_add_connection()).count(), 45);
     overload.set_lag(std::time::Duration::ZERO);
-    assert!(!overload.is_ready(), "crowded");
+    assert!(!overload.is_ready(), "near the connection limit");
     (0..20).for_each(|_| overload.remove_connection());
     assert!(overload.try_add_connection());
     overload.set_lag(std::time::Duration::ZERO);
--- a/src/gateway/tests/rollouts.rs
+++ b/src/gateway/tests/rollouts.rs
@@ -165,7 +165,7 @@
     [StubEndpoint::start(new).await, StubEndpoint::start(old).await]
 }
 
-/// A share in permille with which the first choice is almost always the new release.
+/// A fraction in permille with which the first choice is almost always the new release.
 const ALMOST_ALL_PERMILLE: u32 = 999;
 
 /// A call that was assigned to the new release.
@@ -186,7 +186,7 @@
         assert_eq!(run(fleet.call()).await.status(), StatusCode::OK);
     }
     assert_eq!((new.served(), old.served()), (0, 50));
-    // Where no endpoint of another release takes work, the new release serves even so.
+    // If no endpoint of another release accepts requests, the new release serves them.
     let gone = Registration { state: EndpointState::Leaving, sequence: 2, ..endpoint("old") };
     fleet.gateway.registry.merge([gone], Origin::Relayed);
     assert_eq!(run(fleet.call()).await.status(), StatusCode::OK);
