--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -21,9 +21,9 @@
 /// The shortest election timeout in milliseconds before the first contact with a leader
 /// after a start; it doubles with each attempt up to [`MIN_ELECTION_TIMEOUT_MS`]. It is
 /// short because after a restart of all hosts there is no leader. If there is one, the
-/// pre-vote is refused. Two heartbeats of a leader fit into it.
+/// pre-vote is refused. A leader sends two heartbeats within it.
 const FIRST_ELECTION_TIMEOUT_MS: Millis = 200;
-/// Most entries in one message of the leader.
+/// Maximum number of entries in one message of the leader.
 const MAX_ENTRIES_PER_MESSAGE: usize = 512;
 
 /// The current role of a replica.
@@ -126,7 +126,7 @@
     round: u64,
     last_leader_contact: Option<Millis>,
     election_due: Millis,
-    /// How often the election timer was set since the start.
+    /// Number of times that the election timer was set since the start.
     timer_resets: u32,
     heartbeat_due: Millis,
     rng: SmallRng,
@@ -209,8 +209,8 @@
         self.hard_state.term
     }
 
-    /// Whether its commit index has reached the current term, so that it knows of every
-    /// earlier commit. After a restart it knows the leader before that.
+    /// Whether its commit index has reached the current term, and so covers every earlier
+    /// commit. After a restart it learns the leader before that.
     pub fn has_caught_up(&self) -> bool {
         self.log.term(self.commit) == Some(self.hard_state.term)
     }
--- a/src/agree/tests.rs
+++ b/src/agree/tests.rs
@@ -476,8 +476,8 @@
     assert_eq!(replica.record_synced(index, term).reads, [5]);
 }
 
-/// Stores that have restarted know the leader before they know the commit index. Until then
-/// the state that they have applied may be older than accepted commands.
+/// Stores that have restarted learn the leader before the commit index. Until they have the
+/// commit index, the state that they have applied may be older than accepted commands.
 #[test]
 fn a_restarted_store_has_caught_up_once_it_has_every_earlier_commit() {
     let mut group = Group::new(3, 7);
@@ -491,18 +491,18 @@
     let ids = [1, 2, 3].map(StoreId);
     ids.iter().for_each(|id| group.crash(*id));
     ids.iter().for_each(|id| group.restart(*id));
-    let mut knew_only_the_leader = false;
+    let mut learned_leader_first = false;
     for _ in 0..300 {
         group.run(1);
         for id in ids {
             let replica = group.stores[&id].replica.as_ref().unwrap();
             match replica.has_caught_up() {
                 true => assert!(replica.status().commit >= committed),
-                false => knew_only_the_leader |= replica.leader().is_some(),
+                false => learned_leader_first |= replica.leader().is_some(),
             }
         }
     }
-    assert!(knew_only_the_leader, "no store knew the leader before the commit index");
+    assert!(learned_leader_first, "no store knew the leader before the commit index");
     assert!(ids.iter().all(|id| group.stores[id].replica.as_ref().unwrap().has_caught_up()));
 }
 
--- a/src/claim/client.rs
+++ b/src/claim/client.rs
@@ -13,7 +13,7 @@
 
 /// How long to wait before the next attempt when there is no leader.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How long a host may answer nothing while requests are pending.
+/// Time without any answer of a host, while requests are pending, after which it is given up.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a settlement is retried until it is acknowledged.
 const MAX_SETTLE_TIME: Duration = Duration::from_secs(600);
--- a/src/control.rs
+++ b/src/control.rs
@@ -55,7 +55,7 @@
 pub use serve::{ClaimAction, ClaimAnswer, ClaimReply, ClaimRequest, Identity};
 pub use state::{ChangeOutcome, Command, Reply, State};
 
-/// What the tasks of a control host share.
+/// State shared by the tasks of a control host.
 #[derive(Debug)]
 pub struct Control {
     /// The settings of this host.
@@ -68,11 +68,11 @@
     pub documents: Arc<CurrentRouting>,
     /// Endpoints that registered themselves with this or another host.
     pub registry: Arc<SharedRegistry>,
-    /// The roll-outs of releases, and the reports and grants for them.
+    /// The rollouts of releases, and the reports and grants for them.
     pub rollouts: Arc<SharedRollouts>,
     /// The requests in quarantine because they crash endpoints, and reports of crashes.
     pub quarantine: Arc<SharedQuarantine>,
-    /// Progress of the roll-outs that this host conducts as leader, by service.
+    /// Progress of the rollouts that this host conducts as leader, by service.
     pub rollout_progress: Mutex<BTreeMap<String, Progress>>,
     /// The placer that runs here.
     pub placement: PlacerHandle,
--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -18,9 +18,9 @@
     UnknownHall,
     /// There is no such service.
     UnknownService,
-    /// No roll-out of the service was ever ordered.
+    /// No rollout of the service was ever ordered.
     NoRollout,
-    /// Another roll-out of the service is under way.
+    /// Another rollout of the service is under way.
     UnderWay,
     /// Another host leads.
     Elsewhere(HostId),
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -23,9 +23,9 @@
 use crate::settings::ControlSettings;
 use crate::store::{Disk, DiskWriter, RecoveredState};
 
-/// Most events handled in one batch, whose proposals share one sync to disk.
+/// Maximum number of events handled in one batch, whose proposals share one sync to disk.
 const MAX_BATCH: usize = 1_024;
-/// Most events that may be queued for the driver.
+/// Maximum number of events that may be queued for the driver.
 const MAX_QUEUED_EVENTS: usize = 8_192;
 
 /// Messages that may be sent only once a disk job is synced, because they acknowledge what
@@ -95,7 +95,7 @@
     applied_index: u64,
     /// Index of the last entry in the newest snapshot.
     snapshot_index: u64,
-    /// Least number of entries between two snapshots.
+    /// Minimum number of entries between two snapshots.
     snapshot_every: u64,
     /// Proposals made here that are not yet applied, by index: term and reply channel.
     pending_proposals: BTreeMap<u64, (u64, ReplyTo)>,
@@ -201,7 +201,7 @@
                     matched: self.replica.matched(),
                     claims: self.state.claims().len(),
                 };
-                // The caller may have given up.
+                // The receiver is dropped if the caller has given up.
                 let _ = reply.send(status);
                 Ok(())
             }
@@ -210,7 +210,7 @@
                     inspect(&self.state);
                 } else {
                     let leader = self.replica.leader();
-                    // The caller may have given up.
+                    // The receiver is dropped if the caller has given up.
                     let _ = refuse.send(self.no_leader(NotLeader { leader }));
                 }
                 Ok(())
@@ -237,7 +237,7 @@
             Err(not_leader) => {
                 let error = self.no_leader(not_leader);
                 for reply in replies {
-                    // The caller may have given up.
+                    // The receiver is dropped if the caller has given up.
                     let _ = reply.send(Err(error));
                 }
                 Ok(())
@@ -260,7 +260,7 @@
                 self.execute(out)
             }
             Err(not_leader) => {
-                // The caller may have given up.
+                // The receiver is dropped if the caller has given up.
                 let _ = reply.send(Err(self.no_leader(not_leader)));
                 Ok(())
             }
@@ -280,7 +280,7 @@
         self.apply(out.committed)?;
         for token in out.reads {
             if let Some(reply) = self.pending_reads.remove(&token) {
-                // The caller may have given up.
+                // The receiver is dropped if the caller has given up.
                 let _ = reply.send(Ok(()));
             }
         }
@@ -315,7 +315,7 @@
                     true => Ok(reply),
                     false => Err(NoLeader::Uncertain),
                 };
-                // The caller may have given up.
+                // The receiver is dropped if the caller has given up.
                 let _ = reply_to.send(answer);
             }
         }
@@ -352,7 +352,7 @@
             return;
         }
         for (_, (_, reply)) in std::mem::take(&mut self.pending_proposals) {
-            // The caller may have given up.
+            // The receiver is dropped if the caller has given up.
             let _ = reply.send(Err(NoLeader::Uncertain));
         }
         for (_, reply) in std::mem::take(&mut self.pending_reads) {
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -54,7 +54,7 @@
             Ok(None) => (Ok(false), Output::default()),
             Err(not_leader) => (Err(self.no_leader(not_leader)), Output::default()),
         };
-        // The caller may have given up.
+        // The receiver is dropped if the caller has given up.
         let _ = reply.send(answer);
         self.execute(out)
     }
@@ -68,7 +68,7 @@
             Ok((joined, out)) => (Ok(joined), out),
             Err(not_leader) => (Err(self.no_leader(not_leader)), Output::default()),
         };
-        // The caller may have given up.
+        // The receiver is dropped if the caller has given up.
         let _ = reply.send(answer);
         self.execute(out)
     }
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -49,12 +49,12 @@
 pub struct Handle {
     /// This host's store.
     pub store: StoreId,
-    /// The current leadership, as this store knows it.
+    /// The current leadership, as recorded by this store.
     pub leadership: watch::Receiver<Leadership>,
     pub(super) events: mpsc::Sender<Event>,
 }
 
-/// The leadership of the group, as one store knows it.
+/// The leadership of the group, as recorded by one store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leadership {
     /// The current term.
@@ -133,7 +133,7 @@
         receiver.await.ok()
     }
 
-    /// Evaluates `f` on the state applied here, if this store leads as far as it knows. A store
+    /// Evaluates `f` on the state applied here, if this store counts itself as the leader. One
     /// that lost its leadership notices about a heartbeat later, and a new leader may not yet
     /// have applied everything: call `read` first where this matters.
     pub async fn inspect<T: Send + 'static>(
@@ -143,7 +143,7 @@
         let (sender, receiver) = oneshot::channel();
         let (refuse, refused) = oneshot::channel();
         let inspect = move |state: &State| {
-            // The caller may have given up.
+            // The receiver is dropped if the caller has given up.
             let _ = sender.send(f(state));
         };
         self.send(Event::Inspect(Box::new(inspect), refuse)).await;
--- a/src/control/legacy.rs
+++ b/src/control/legacy.rs
@@ -1,6 +1,6 @@
 //! The agreed state and commands as earlier releases encoded them: the previous release, whose
 //! services had no health path; the one before, which had no quarantine either; and the first
-//! one, which wrote no format number and had neither roll-outs nor allowed regions.
+//! one, which wrote no format number and had neither rollouts nor allowed regions.
 //!
 //! These types are decoded by position: the order, number and types of their fields and variants
 //! are those of the stored data.
--- a/src/control/quarantine_controller.rs
+++ b/src/control/quarantine_controller.rs
@@ -23,7 +23,7 @@
 const REVIEW_INTERVAL: Duration = Duration::from_millis(250);
 /// How long reports are collected before a review. Reports of many routers about one crashed
 /// endpoint arrive within a few milliseconds, and each review goes through all crashes, which
-/// takes two milliseconds in an outage.
+/// takes two milliseconds during an outage.
 const REPORT_WINDOW: Duration = Duration::from_millis(50);
 
 /// Runs the controller while this host leads, until the process ends.
--- a/src/control/registrations.rs
+++ b/src/control/registrations.rs
@@ -5,7 +5,7 @@
 use crate::registry::{Registration, Registry};
 use crate::routing::Routing;
 
-/// Most milliseconds by which the time of day of an endpoint may be ahead of a host's.
+/// Maximum number of milliseconds by which the time of day of an endpoint may be ahead of a host's.
 const MAX_CLOCK_SKEW_MS: u64 = 30_000;
 
 /// The outcome of a registration.
@@ -61,7 +61,7 @@
 
     /// Records that an endpoint ended. The call does not say which start ended: it applies to the
     /// start that is known here or, where none is, to any that may have begun by now. If that
-    /// start goes on registering, it gets requests again.
+    /// start continues to register, it gets requests again.
     pub fn deregister(&self, id: &str) {
         let started_at_ms = epoch_ms().saturating_add(MAX_CLOCK_SKEW_MS);
         self.register(Registration { started_at_ms, ..Registration::gone(id) });
--- a/src/control/rollout_controller.rs
+++ b/src/control/rollout_controller.rs
@@ -1,4 +1,4 @@
-//! Conducts roll-outs on the leader: evaluates the reports of routers, publishes grants and
+//! Conducts rollouts on the leader: evaluates the reports of routers, publishes grants and
 //! proposes the next stages.
 
 mod confirmation;
@@ -31,13 +31,14 @@
 const PUBLISH_EVERY_TICKS: u32 = 2;
 /// Milliseconds for which grants are valid: two publications in a row may be lost.
 const GRANT_VALID_MS: Millis = 600;
-/// Ticks between two log lines about a roll-out whose share does not change.
+/// Ticks between two log lines about a rollout whose fraction of requests does not
+/// change.
 const LOG_EVERY_TICKS: u32 = 10;
 /// Milliseconds by which the clocks of hosts may differ. The age of an order by the time of day
 /// is used only where it exceeds this, or for orders from before a restart.
 const MAX_CLOCK_SKEW_MS: u64 = 10_000;
 
-/// Progress of the roll-outs that this host conducts, by service, for status and metrics.
+/// Progress of the rollouts that this host conducts, by service, for status and metrics.
 pub(super) fn progress(control: &Control) -> MutexGuard<'_, BTreeMap<String, Progress>> {
     control.rollout_progress.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -54,7 +55,7 @@
 struct OrderAges {
     /// When this host started, in milliseconds since the epoch.
     started_at_ms: u64,
-    /// By number of the roll-out.
+    /// By number of the rollout.
     first_seen: BTreeMap<u64, FirstSeen>,
 }
 
@@ -63,7 +64,7 @@
         OrderAges { started_at_ms, first_seen: BTreeMap::new() }
     }
 
-    /// Updates the set of roll-outs in progress. A new order counts from now on. Its age by the
+    /// Updates the set of rollouts in progress. A new order counts from now on. Its age by the
     /// time of day is used only where it was ordered before this host started, or where that age
     /// exceeds `MAX_CLOCK_SKEW_MS`, which means that this host learned of it late.
     fn update(&mut self, now: Millis, epoch: u64, table: &Rollouts) {
@@ -84,7 +85,7 @@
     }
 }
 
-/// Conducts roll-outs while this host leads, until the process ends.
+/// Conducts rollouts while this host leads, until the process ends.
 pub(super) async fn run(control: Arc<Control>) {
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -118,7 +119,7 @@
     ages: OrderAges,
     active: BTreeMap<String, ActiveRollout>,
     ticks: u32,
-    /// Whether the grants published last were for a roll-out in progress.
+    /// Whether the grants published last were for a rollout in progress.
     has_published: bool,
     confirmation: Arc<Mutex<LeadershipConfirmation>>,
     proposals: Proposals,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Discards all counts, because another host conducts the roll-outs now.
+    /// Discards all counts, because another host conducts the rollouts now.
     fn on_leadership_lost(&mut self) {
         self.active.clear();
         self.proposals.clear();
@@ -144,7 +145,7 @@
         self.confirmation = Arc::default();
     }
 
-    /// Updates the conducted roll-outs to the agreed table and its stages.
+    /// Updates the conducted rollouts to the agreed table and its stages.
     fn update_active(&mut self, now: Millis, table: &Rollouts) {
         let is_in_progress = |service: &String, active: &ActiveRollout| {
             let rollout = table.get(service).filter(|rollout| !rollout.stage.is_final());
@@ -196,7 +197,7 @@
         }
     }
 
-    /// While a roll-out is in progress, regularly asks a majority whether this host still leads.
+    /// While a rollout is in progress, regularly asks a majority whether this host still leads.
     fn confirm_leadership(&self, control: &Arc<Control>, now: Millis) {
         if self.active.is_empty() || !lock(&self.confirmation).start_if_due(now) {
             return;
@@ -208,8 +209,8 @@
         });
     }
 
-    /// Publishes grants a few times a second while a roll-out is in progress and this host is
-    /// confirmed as leader, and once an empty list after the last roll-out.
+    /// Publishes grants a few times a second while a rollout is in progress and this host is
+    /// confirmed as leader, and once an empty list after the last rollout.
     fn publish_grants(
         &mut self,
         control: &Control,
--- a/src/control/rollout_controller/confirmation.rs
+++ b/src/control/rollout_controller/confirmation.rs
@@ -1,5 +1,5 @@
 //! Confirms with a majority that this host still leads. A leader that was cut off from the group
-//! does not learn of its successor, and must not go on publishing grants that the successor has
+//! does not learn of its successor, and must stop publishing grants that the successor has
 //! withdrawn.
 
 use crate::dispatch::Millis;
--- a/src/control/rollout_controller/proposals.rs
+++ b/src/control/rollout_controller/proposals.rs
@@ -1,4 +1,4 @@
-//! The steps of roll-outs that the leader proposes to the group.
+//! The steps of rollouts that the leader proposes to the group.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 /// Milliseconds after which a step that is still not agreed is proposed again.
 const REPROPOSE_AFTER_MS: Millis = 500;
 
-/// The stage proposed last for each roll-out, by the roll-out's number, and when.
+/// The stage proposed last for each rollout, by the rollout's number, and when.
 #[derive(Debug, Default)]
 pub struct Proposals {
     last: BTreeMap<u64, (Stage, Millis)>,
@@ -45,7 +45,7 @@
         });
     }
 
-    /// Forgets the proposals for roll-outs that are no longer in progress.
+    /// Forgets the proposals for rollouts that are no longer in progress.
     pub fn retain(&mut self, is_in_progress: impl Fn(u64) -> bool) {
         self.last.retain(|number, _| is_in_progress(*number));
     }
--- a/src/control/rollout_controller/tests.rs
+++ b/src/control/rollout_controller/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the age of orders, of the set of conducted roll-outs, and of the confirmation of
+//! Tests of the age of orders, of the set of conducted rollouts, and of the confirmation of
 //! leadership.
 
 use super::*;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn only_roll_outs_in_progress_are_conducted() {
+fn only_rollouts_in_progress_are_conducted() {
     let mut table = table(EPOCH);
     let mut controller = RolloutController::new(EPOCH);
     controller.update_active(0, &table);
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -12,9 +12,9 @@
 
 /// Longest name of a release, in bytes: every message about its endpoints contains it.
 const MAX_VERSION_BYTES: usize = 64;
-/// Shortest duration of a roll-out: a shorter one would end before routers report its answers.
+/// Shortest duration of a rollout: a shorter one would end before routers report its answers.
 const MIN_DURATION: Duration = Duration::from_secs(1);
-/// Longest duration of a roll-out: a longer one is assumed to be a mistake in the unit.
+/// Longest duration of a rollout: a longer one is assumed to be a mistake in the unit.
 const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3_600);
 
 fn refusal(field: &str, problem: &str, remedy: &str) -> CallError {
@@ -51,7 +51,7 @@
         duration: Duration,
     ) -> Result<(), CallError> {
         check(service, version, duration)?;
-        // Before the first document no service is known, so the order cannot be judged yet.
+        // Before the first document no service is known, so the order cannot be checked yet.
         if self.read_document().await?.is_none() {
             return Err(CallError::Uncertain);
         }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The newest roll-out of a service, as agreed.
+    /// The newest rollout of a service, as agreed.
     pub async fn read_rollout(&self, service: &str) -> Result<Rollout, CallError> {
         self.handle.read().await?;
         let name = service.to_string();
@@ -86,8 +86,8 @@
         rollout.ok_or(CallError::NoRollout)
     }
 
-    /// Metrics: the number of roll-outs in each stage as this host knows them and, on the leader,
-    /// the totals of the roll-outs that it conducts.
+    /// Metrics: the number of rollouts in each stage, as applied on this host, and, on the leader,
+    /// the totals of the rollouts that it conducts.
     pub(super) fn render_rollout_metrics(&self) -> String {
         let table = self.rollouts.table();
         let count = |stage| table.all().filter(|rollout| rollout.stage == stage).count() as u64;
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,5 +1,5 @@
 //! The replicated state of the control group: configuration, operations, claims, routing
-//! document, drained halls, roll-outs and quarantined requests.
+//! document, drained halls, rollouts and quarantined requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -52,7 +52,7 @@
     RestoreHall(String),
     /// Roll out a release of a service.
     StartRollout(Order),
-    /// Move a roll-out to another stage.
+    /// Move a rollout to another stage.
     StepRollout(Step),
     /// Refuse a request that crashes endpoints, try it again, or release it.
     Quarantine(Verdict),
@@ -85,7 +85,7 @@
     Halls(DrainedHalls),
     /// The outcome of an order to roll out a release.
     Rollout(OrderOutcome),
-    /// The step of a roll-out was applied, or ignored because it was out of date.
+    /// The step of a rollout was applied, or ignored because it was out of date.
     Stepped,
     /// The verdict on a request was applied, or ignored because it was out of date.
     Quarantined,
@@ -126,7 +126,7 @@
         &self.drained
     }
 
-    /// The newest roll-out of each service.
+    /// The newest rollout of each service.
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
@@ -137,7 +137,7 @@
     }
 
     /// Versions of the published parts, each of which rises when its part changes: the
-    /// configuration, the routing document, the drained halls, the roll-outs and the
+    /// configuration, the routing document, the drained halls, the rollouts and the
     /// quarantined requests.
     pub fn versions(&self) -> [u64; 5] {
         let configuration = self.history.config().version;
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn two_services_can_have_roll_outs_at_the_same_time() {
+fn two_services_can_have_rollouts_at_the_same_time() {
     let mut state = with_services();
     assert_eq!(state.apply(order("llm", "v2")), Reply::Rollout(OrderOutcome::Taken));
     assert_eq!(state.apply(order("app", "v5")), Reply::Rollout(OrderOutcome::Taken));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_step_of_an_earlier_roll_out_changes_nothing() {
+fn a_step_of_an_earlier_rollout_changes_nothing() {
     let mut state = with_services();
     state.apply(order("llm", "v2"));
     let first = state.rollouts().get("llm").unwrap().number;
@@ -173,10 +173,10 @@
 proptest! {
     #![proptest_config(crate::testing::property(128))]
 
-    /// Hosts that apply the same log have the same roll-outs, also when one of them starts from a
+    /// Hosts that apply the same log have the same rollouts, also when one of them starts from a
     /// snapshot.
     #[test]
-    fn roll_outs_follow_from_the_log_alone(
+    fn rollouts_follow_from_the_log_alone(
         log in proptest::collection::vec((0u8..3, 0u8..3, 0u64..6, 0u64..40_000), 0..40),
         snapshot_at in 0usize..40,
     ) {
--- a/src/control/transport.rs
+++ b/src/control/transport.rs
@@ -14,8 +14,8 @@
 use crate::peer::{PeerReader, Peers};
 use crate::wire::{HostId, Open, Traffic, write_frame};
 
-/// Most messages queued for one host. Further ones are dropped: the agreement tolerates lost
-/// messages.
+/// Maximum number of messages queued for one host. Further ones are dropped: the agreement
+/// tolerates lost messages.
 const MAX_QUEUED_MESSAGES: usize = 1_024;
 /// Pause after a failed attempt to connect.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -13,7 +13,7 @@
 /// Milliseconds between two heartbeats.
 pub const HEARTBEAT_MS: Millis = 500;
 /// Milliseconds between the first two heartbeats after a start; the interval doubles each
-/// time, up to [`HEARTBEAT_MS`], until another host is heard.
+/// time, up to [`HEARTBEAT_MS`], until a heartbeat of another host arrives.
 pub const FIRST_HEARTBEAT_MS: Millis = 50;
 /// Milliseconds of silence after which a host is suspected.
 pub const SUSPECT_AFTER_MS: Millis = 1_600;
@@ -165,7 +165,7 @@
         }
         let known = self.members.get(&heartbeat.host);
         // An incarnation is the clock at the start, and clocks may be set back. A lower one is
-        // a late heartbeat while the higher one is heard, and a restart once that is silent.
+        // a late heartbeat while the higher one sends heartbeats, and a restart once it is silent.
         let is_late = |m: &Member| {
             m.heartbeat.incarnation > heartbeat.incarnation && now < m.last_heard + SUSPECT_AFTER_MS
         };
