--- a/src/bin/bramblecrank/rollout.rs
+++ b/src/bin/bramblecrank/rollout.rs
@@ -1,4 +1,4 @@
-//! Operators' commands about roll-outs of releases.
+//! Operators' commands about rollouts of releases.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::operate::rpc_error;
 
-/// Orders a roll-out of a release, through the first control host that accepts the order.
+/// Orders a rollout of a release, through the first control host that accepts the order.
 pub async fn start(
     service: String,
     version: String,
@@ -34,7 +34,7 @@
     rpc_error(failure)
 }
 
-/// Shows the newest roll-out of a service.
+/// Shows the newest rollout of a service.
 pub async fn status(service: &str, to: &[SocketAddr], as_json: bool) -> Result<()> {
     let mut failure = "no control host answered".to_string();
     for address in to {
@@ -55,7 +55,7 @@
     rpc_error(failure)
 }
 
-/// A short description of a roll-out.
+/// A short description of a rollout.
 pub fn describe(rollout: &proto::RolloutStatus) -> String {
     let within_s = rollout.within_ms as f64 / 1_000.0;
     format!(
@@ -66,7 +66,7 @@
     )
 }
 
-/// A roll-out as JSON.
+/// A rollout as JSON.
 pub fn to_json(rollout: &proto::RolloutStatus) -> serde_json::Value {
     json!({"service": rollout.service, "version": rollout.version,
         "stage": stage_name(rollout.stage()), "ordered_at_ms": rollout.ordered_at_ms,
--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -8,7 +8,7 @@
 use super::{Change, Config, Delta, Refusal};
 use crate::wire::PullResponse;
 
-/// Most deltas that are kept.
+/// Maximum number of deltas kept.
 const MAX_DELTAS: usize = 4_096;
 
 /// The newest configuration that this process holds, and the recent deltas to it.
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct HallId(pub u8);
 
-/// Most data halls that one configuration may declare.
+/// Maximum number of data halls that one configuration may declare.
 pub const MAX_HALLS: usize = 32;
 
 /// A set of data halls.
@@ -110,10 +110,10 @@
     /// The services it may reach; empty means all.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Most requests it may have waiting for one service across the fleet.
+    /// Maximum number of requests it may have waiting for one service across the fleet.
     #[serde(default = "default_max_waiting")]
     pub max_waiting: u32,
-    /// Most body bytes it may have waiting at one router.
+    /// Maximum number of body bytes it may have waiting at one router.
     #[serde(default = "default_max_bytes")]
     pub max_bytes: u64,
 }
--- a/src/delivery/tests.rs
+++ b/src/delivery/tests.rs
@@ -16,11 +16,11 @@
 
 #[test]
 fn events_are_split_at_any_packet_boundary() {
-    let whole = "data: {\"a\":1}\n\ndata: x\ndata: y\n\ndata: [DONE]\n\n";
+    let stream = "data: {\"a\":1}\n\ndata: x\ndata: y\n\ndata: [DONE]\n\n";
     let expected = ["{\"a\":1}", "x\ny", DONE];
-    assert_eq!(events(&[whole]), expected);
-    for at in 1..whole.len() {
-        assert_eq!(events(&[&whole[..at], &whole[at..]]), expected);
+    assert_eq!(events(&[stream]), expected);
+    for at in 1..stream.len() {
+        assert_eq!(events(&[&stream[..at], &stream[at..]]), expected);
     }
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -108,5 +108,5 @@
     },
 }
 
-/// The result of anything that touches files or sockets.
+/// The result of operations on files or sockets.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -1,11 +1,11 @@
 //! Feeds: control hosts publish changes of the fleet's state, such as the routing in force,
 //! endpoints and the leader, to every router and to each other.
 //!
-//! A subscriber keeps one connection to each control host that it knows. Updates merge in any
+//! A subscriber keeps one connection to each known control host. Updates merge in any
 //! order, so a lost connection only delays them. Large updates come from few hosts: every
 //! control host announces the version of its routing table, and a subscriber requests the
 //! table from one of them. Endpoints are sent by the control hosts from which the subscriber
-//! has requested them: two send all that they know, and control hosts send each other the
+//! has requested them: two send all that they have, and control hosts send each other the
 //! endpoints that registered with themselves ([`sources`]).
 
 mod cursor;
@@ -73,7 +73,7 @@
     /// Endpoints that accepted requests before the sender restarted and have not registered
     /// with it since.
     Remembered(Vec<Registration>),
-    /// The number of live routers that the sender knows.
+    /// The number of live routers that the sender receives heartbeats from.
     Routers(u32),
     /// The routers of one data hall, for a subscriber that requested them.
     Neighbours(Vec<Neighbour>),
@@ -130,7 +130,7 @@
     /// Requests an answer at once: the subscriber was stalled, so the messages that it now
     /// reads may have been sent long before.
     Probe {
-        /// Number of the stall; tells the answer from that to an earlier probe.
+        /// Number of the stall; distinguishes the answer from that to an earlier probe.
         stall: u64,
     },
 }
--- a/src/feed/sources.rs
+++ b/src/feed/sources.rs
@@ -2,7 +2,7 @@
 //!
 //! If every control host sent every update to every subscriber, each control host would send
 //! bytes in proportion to hosts times endpoints, and each update would arrive as often as there
-//! are control hosts. Two that send all they know are enough: one in the subscriber's own data
+//! are control hosts. Two that send all updates are enough: one in the subscriber's own data
 //! hall, which stays reachable when the hall is cut off, and one in another, which receives
 //! updates that the first may miss. Control hosts also send each other the endpoints that
 //! registered with themselves, so that each of them is ready to lead.
--- a/src/feed/subscribe.rs
+++ b/src/feed/subscribe.rs
@@ -163,8 +163,8 @@
         self.sources_changed.notify_one();
     }
 
-    /// Reports the leaving endpoints to a control host that was out of reach: it may know as
-    /// ready endpoints that announced to this router that they are leaving.
+    /// Reports the leaving endpoints to a control host that was out of reach: it may have
+    /// recorded endpoints as ready that announced to this router that they are leaving.
     fn send_leaving(&self, requests: &BatchSender<FeedRequest>) {
         let leaving = self.fleet_state.registry.read(|registry| registry.leaving(MAX_LEAVING));
         if self.role == Role::Router && !leaving.is_empty() {
--- a/src/feed/tests/connection.rs
+++ b/src/feed/tests/connection.rs
@@ -13,7 +13,7 @@
 };
 use crate::wire::{HostId, Open, Role, Traffic, write_frame};
 
-/// Publishes to every subscriber, as a control host that leads and knows no endpoints.
+/// Publishes to every subscriber, as a control host that leads and has no endpoints.
 async fn serve(
     peers: Arc<Peers>,
     incoming: mpsc::Receiver<Incoming>,
@@ -157,7 +157,7 @@
     Arc::new(registry)
 }
 
-/// Six control hosts know the same endpoints, and only two of them send these to a router.
+/// Six control hosts have the same endpoints, and only two of them send these to a router.
 #[tokio::test]
 async fn only_two_control_hosts_send_thousands_of_endpoints_to_a_router() {
     const ENDPOINTS: u32 = 3_000;
--- a/src/feed/tests/table_fetch.rs
+++ b/src/feed/tests/table_fetch.rs
@@ -40,7 +40,7 @@
     assert_eq!(fetch.next(5, 0, None), Next::Request(SECOND));
     fetch.record_announcement(FIRST, 5);
     assert_eq!(fetch.next(5 + ANSWER_TIMEOUT_MS, 0, None), Next::Request(FIRST));
-    // Both were silent: requests go on until one of them answers.
+    // Both were silent: requests continue until one of them answers.
     assert_eq!(fetch.next(5 + 2 * ANSWER_TIMEOUT_MS, 0, None), Next::Request(FIRST));
     fetch.record_delivery(SECOND);
     assert_eq!(fetch.next(5 + 3 * ANSWER_TIMEOUT_MS, 0, None), Next::Request(SECOND));
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -13,7 +13,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
-/// Most times that a change is sent while its outcome is uncertain.
+/// Maximum number of times that a change is sent while its outcome is uncertain.
 const MAX_SENDS: u32 = 40;
 /// Pause between two sends of a change.
 const SEND_PAUSE: Duration = Duration::from_millis(250);
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -58,7 +58,7 @@
     Status::unavailable("no control host decided; send the order again")
 }
 
-/// The gRPC status of a failed call about a roll-out.
+/// The gRPC status of a failed call about a rollout.
 fn rollout_error(error: &CallError, service: &str) -> Status {
     match error {
         CallError::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
--- a/src/operator/view.rs
+++ b/src/operator/view.rs
@@ -10,7 +10,7 @@
 use crate::rollout::{Rollout, Stage};
 use crate::wire::{Heartbeat, Role};
 
-/// Most history entries in one reply.
+/// Maximum number of history entries in one reply.
 const MAX_HISTORY_ENTRIES: u32 = 1_000;
 
 pub(super) fn role_name(role: Role) -> &'static str {
@@ -40,7 +40,7 @@
     registry.read(|registry| registry.drained().names().map(str::to_string).collect())
 }
 
-/// The status of a roll-out for operators.
+/// The status of a rollout for operators.
 pub(super) fn rollout(rollout: &Rollout) -> proto::RolloutStatus {
     use proto::rollout_status::Stage as ProtoStage;
     let stage = match rollout.stage {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -29,7 +29,7 @@
 
 /// The time-out for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time-out for the opening frame of a connection that a peer result.
+/// The time-out for reading the opening frame of a connection that a peer opened.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 /// The largest opening frame and the largest datagram, in bytes.
 const MAX_OPEN_BYTES: usize = 4_096;
@@ -42,7 +42,7 @@
 /// The reading half of a connection between hosts.
 pub type PeerReader = FrameReader<BufReader<OwnedReadHalf>>;
 
-/// A connection that a peer result.
+/// A connection that a peer opened.
 #[derive(Debug)]
 pub struct Incoming {
     /// The opening frame, which names the purpose of the connection.
@@ -75,8 +75,8 @@
 }
 
 impl Peers {
-    /// Opens the peer port and starts to exchange heartbeats. Connections result by peers
-    /// are delivered by the receiver.
+    /// Opens the peer port and starts to exchange heartbeats. The receiver delivers the
+    /// connections that peers open.
     pub async fn start(
         settings: &HostSettings,
         role: Role,
--- a/src/router.rs
+++ b/src/router.rs
@@ -71,8 +71,8 @@
 }
 
 /// Waits for a feed from a control host that has caught up with the leader: before that, a router
-/// does not know which requests crash endpoints. Out of reach of such a host it serves requests
-/// after [`CONTROL_WAIT_TIMEOUT`] without that knowledge.
+/// has no list of the requests that crash endpoints. If no such host is in reach, it serves
+/// requests without that list after [`CONTROL_WAIT_TIMEOUT`].
 async fn wait_for_control_host(router: &Router, stop: &CancellationToken) {
     let caught_up = async {
         while !router.feeds.is_current() {
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -29,7 +29,7 @@
 /// Endpoints that accept no new requests.
 pub type LeavingEndpoints = Arc<BTreeSet<EndpointId>>;
 
-/// Interval at which counters kept elsewhere are copied to the metrics.
+/// Interval at which counters of other modules are copied to the metrics.
 const METRICS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A router: its settings and the state that its parts share.
--- a/src/router/stream.rs
+++ b/src/router/stream.rs
@@ -212,7 +212,8 @@
         prompt.saturating_add(self.output_tokens.saturating_mul(self.weights[1]))
     }
 
-    /// Requests the remaining tokens from the same engine; returns whether the stream goes on.
+    /// Requests the remaining tokens from the same engine; returns whether the stream
+    /// is resumed.
     async fn resume(&mut self) -> bool {
         let rest =
             self.router.notices.remaining_rest(self.router.peers.clock.now(), self.engine.id);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -14,7 +14,7 @@
 use crate::rollout::RolloutRules;
 use crate::wire::HostId;
 
-/// Smallest share of a service's requests that a canary release may get. With less, no
+/// Smallest fraction of a service's requests that a canary release may get. With less, no
 /// service has enough answers in time to judge the release.
 const MIN_CANARY_SHARE: f64 = 0.01;
 /// Shortest time in milliseconds in which a bad release can be stopped on every router: its
@@ -130,7 +130,7 @@
     /// Thresholds at which this router counts as overloaded.
     #[serde(default)]
     pub overload: OverloadRules,
-    /// Fewest routers that the retry budget is divided by, even if fewer are known.
+    /// Minimum number of routers that the retry budget is divided by, even if fewer are known.
     #[serde(default = "default_least_routers")]
     pub least_routers: usize,
     /// Milliseconds for which requests are still accepted during a planned stop.
@@ -336,7 +336,7 @@
 }
 
 impl RouterSettings {
-    /// Checks the constraints that parsing does not.
+    /// Checks constraints that parsing does not check.
     pub fn check(&self) -> Result<()> {
         self.host.check()?;
         if self.alone_routers == 0 {
@@ -366,7 +366,7 @@
         (seeds.iter().map(number).collect(), seeds)
     }
 
-    /// Checks the constraints that parsing does not.
+    /// Checks constraints that parsing does not check.
     pub fn check(&self) -> Result<()> {
         self.host.check()?;
         let is_allowed_size = matches!(self.founders.len(), 1 | 3 | 5 | 7);
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -55,7 +55,7 @@
     /// Queues records to be written and synced; returns the number of the job.
     pub fn write(&mut self, records: Vec<Persist>) -> u64 {
         self.last += 1;
-        // The thread runs until this sender is dropped or nobody receives finished jobs.
+        // The thread runs until this sender is dropped or the receiver of finished jobs is.
         let _ = self.jobs.send(Job { number: self.last, records });
         self.last
     }
--- a/src/telemetry/gateway.rs
+++ b/src/telemetry/gateway.rs
@@ -20,7 +20,7 @@
     pub start_checks: IntCounterVec,
     /// Streams resumed on another endpoint, by service.
     pub resumed: IntCounterVec,
-    /// Requests during a roll-out, by service, release and outcome.
+    /// Requests during a rollout, by service, release and outcome.
     pub rollout_requests: IntCounterVec,
     /// Requests sent to an endpoint of another region, by service.
     pub sent_to_other_region: IntCounterVec,
--- a/src/telemetry/trace.rs
+++ b/src/telemetry/trace.rs
@@ -6,9 +6,9 @@
 use crate::clock::epoch_ms;
 use crate::wire::HostId;
 
-/// Most requests whose steps a process keeps.
+/// Maximum number of requests whose steps a process keeps.
 const MAX_REQUESTS: usize = 20_000;
-/// Most steps kept for one request.
+/// Maximum number of steps kept for one request.
 const MAX_STEPS: usize = 64;
 
 /// Number of a request, unique in the fleet: router, its incarnation, sequence number.
--- a/src/wire/protocol.rs
+++ b/src/wire/protocol.rs
@@ -7,8 +7,8 @@
 use crate::error::{Error, Result};
 
 /// The protocol version of this release. It is incremented with every change of a message.
-/// It stays above the numbers with which unversioned messages start, so that these are told
-/// apart.
+/// It stays above the numbers with which unversioned messages start, so that such messages
+/// are recognized.
 pub const PROTOCOL: u8 = 0x85;
 
 /// Encodes the protocol version, one byte, followed by `value`: the form of datagrams and of
@@ -17,8 +17,8 @@
     postcard::to_stdvec(&(PROTOCOL, value)).map_err(|source| Error::Frame { source })
 }
 
-/// Decodes a value that follows the protocol version. Fails with [`Error::OtherProtocol`]
-/// where the version is not [`PROTOCOL`].
+/// Decodes a value that follows the protocol version. Fails with
+/// [`Error::ProtocolMismatch`] if the version is not [`PROTOCOL`].
 pub fn decode_versioned<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     match bytes.split_first() {
         Some((&PROTOCOL, value)) => {
