--- a/src/agree/replica.rs
+++ b/src/agree/replica.rs
@@ -195,8 +195,8 @@
 
     /// Sets the largest number of voters: in a group with that many, further stores stay
     /// learners until a voter has been silent for too long.
-    pub fn set_max_voters(&mut self, most: usize) {
-        self.max_voters = most;
+    pub fn set_max_voters(&mut self, max_voters: usize) {
+        self.max_voters = max_voters;
     }
 
     /// Its role.
--- a/src/control.rs
+++ b/src/control.rs
@@ -217,8 +217,8 @@
             Open::Identify => {
                 tokio::spawn(serve::identify(control.clone(), writer));
             }
-            Open::Join(newcomer) => {
-                tokio::spawn(join::answer(control.clone(), newcomer, writer));
+            Open::Join(new_member) => {
+                tokio::spawn(join::answer(control.clone(), new_member, writer));
             }
             Open::Place { router, session } => {
                 tokio::spawn(control.placement.clone().attach(router, session, reader, writer));
--- a/src/control/driver.rs
+++ b/src/control/driver.rs
@@ -193,8 +193,8 @@
             Event::Propose(command, reply) => self.propose(vec![(command, reply)]),
             Event::Read(reply) => self.read(reply),
             Event::Bootstrap(members) => self.bootstrap(members),
-            Event::AddMember { newcomer, reply } => self.add_member(newcomer, reply),
-            Event::Join { newcomer, reply } => self.join(newcomer, reply),
+            Event::AddMember { new_member, reply } => self.add_member(new_member, reply),
+            Event::Join { new_member, reply } => self.join(new_member, reply),
             Event::Status(reply) => {
                 let status = DriverStatus {
                     replica: self.replica.status(),
--- a/src/control/driver/group.rs
+++ b/src/control/driver/group.rs
@@ -39,15 +39,15 @@
 
     pub(super) fn add_member(
         &mut self,
-        newcomer: GroupMember,
+        new_member: GroupMember,
         reply: oneshot::Sender<Result<bool, NoLeader>>,
     ) -> Result<()> {
         let mut members = self.replica.status().members;
-        if members.iter().any(|m| m.store == newcomer.store) {
+        if members.iter().any(|m| m.store == new_member.store) {
             let _ = reply.send(Ok(true));
             return Ok(());
         }
-        members.push(newcomer);
+        members.push(new_member);
         let changed = self.replica.change_members(self.peers.clock.now(), members);
         let (answer, out) = match changed {
             Ok(Some(out)) => (Ok(true), out),
@@ -61,10 +61,10 @@
 
     pub(super) fn join(
         &mut self,
-        newcomer: GroupMember,
+        new_member: GroupMember,
         reply: oneshot::Sender<Result<bool, NoLeader>>,
     ) -> Result<()> {
-        let (answer, out) = match self.replica.join(self.peers.clock.now(), newcomer) {
+        let (answer, out) = match self.replica.join(self.peers.clock.now(), new_member) {
             Ok((joined, out)) => (Ok(joined), out),
             Err(not_leader) => (Err(self.no_leader(not_leader)), Output::default()),
         };
--- a/src/control/handle.rs
+++ b/src/control/handle.rs
@@ -27,8 +27,8 @@
     Propose(Command, ReplyTo),
     Read(oneshot::Sender<Result<(), NoLeader>>),
     Bootstrap(Vec<GroupMember>),
-    AddMember { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
-    Join { newcomer: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
+    AddMember { new_member: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
+    Join { new_member: GroupMember, reply: oneshot::Sender<Result<bool, NoLeader>> },
     Status(oneshot::Sender<DriverStatus>),
     Inspect(Box<dyn FnOnce(&State) + Send>, oneshot::Sender<NoLeader>),
 }
@@ -113,16 +113,16 @@
     }
 
     /// Adds a store to the group; false while another change of the group is under way.
-    pub async fn add_member(&self, newcomer: GroupMember) -> Result<bool, NoLeader> {
+    pub async fn add_member(&self, new_member: GroupMember) -> Result<bool, NoLeader> {
         let (reply, receiver) = oneshot::channel();
-        self.send(Event::AddMember { newcomer, reply }).await;
+        self.send(Event::AddMember { new_member, reply }).await;
         receiver.await.unwrap_or(Err(NoLeader::Uncertain))
     }
 
     /// Adds a store that asked to join; false while another change of the group is under way.
-    pub async fn join(&self, newcomer: GroupMember) -> Result<bool, NoLeader> {
+    pub async fn join(&self, new_member: GroupMember) -> Result<bool, NoLeader> {
         let (reply, receiver) = oneshot::channel();
-        self.send(Event::Join { newcomer, reply }).await;
+        self.send(Event::Join { new_member, reply }).await;
         receiver.await.unwrap_or(Err(NoLeader::Uncertain))
     }
 
--- a/src/control/join.rs
+++ b/src/control/join.rs
@@ -48,14 +48,14 @@
 async fn request_join(control: &Control) {
     let view = control.peers.view();
     for member in view.with_role(Role::Control).filter(|m| m.host != control.peers.me) {
-        let newcomer = GroupMember {
+        let new_member = GroupMember {
             store: control.handle.store,
             host: control.peers.me,
             peer: control.peers.address,
             voter: false,
             replaces: None,
         };
-        let reply = send_request(control, member.peer, newcomer);
+        let reply = send_request(control, member.peer, new_member);
         if let Ok(Ok(JoinReply::Member)) = tokio::time::timeout(REQUEST_TIMEOUT, reply).await {
             log::info!("control: joined the group through host {}", member.host);
             return;
@@ -66,19 +66,19 @@
 async fn send_request(
     control: &Control,
     address: std::net::SocketAddr,
-    newcomer: GroupMember,
+    new_member: GroupMember,
 ) -> Result<JoinReply> {
-    let (mut reader, _writer) = control.peers.connect(address, &Open::Join(newcomer)).await?;
+    let (mut reader, _writer) = control.peers.connect(address, &Open::Join(new_member)).await?;
     reader.next().await
 }
 
 /// Answers a store that asks to join.
 pub(super) async fn answer(
     control: Arc<Control>,
-    newcomer: GroupMember,
+    new_member: GroupMember,
     mut writer: OwnedWriteHalf,
 ) {
-    let reply = match control.handle.join(newcomer.clone()).await {
+    let reply = match control.handle.join(new_member.clone()).await {
         Ok(true) => JoinReply::Member,
         Ok(false) | Err(NoLeader::Uncertain) => JoinReply::Later,
         Err(NoLeader::Unknown) => JoinReply::Elsewhere(None),
@@ -86,8 +86,8 @@
     };
     log::info!(
         "control: host {} asks to join with store {}: {reply:?}",
-        newcomer.host,
-        newcomer.store
+        new_member.host,
+        new_member.store
     );
     if let Err(error) = write_frame(&mut writer, &reply).await {
         log::debug!("control: a join request ended early: {error}");
--- a/src/feed/subscribe.rs
+++ b/src/feed/subscribe.rs
@@ -216,7 +216,7 @@
 
     /// Requests the routers of a data hall from a control host. The leader is chosen only where
     /// there is no other, since it has the highest load.
-    pub fn ask_for_neighbours(&self, hall: &str) {
+    pub fn request_neighbours(&self, hall: &str) {
         let leader = self.leader();
         let table_sources = self.table_sources();
         let chosen = table_sources.requests.iter().min_by_key(|(host, _)| Some(**host) == leader);
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -112,7 +112,7 @@
 fn choose_neighbour(gateway: &Gateway) -> Option<Neighbour> {
     let now = gateway.now();
     if gateway.with_neighbours(|neighbours| neighbours.start_refresh_if_due(now)) {
-        gateway.feeds.ask_for_neighbours(&gateway.settings.host.hall);
+        gateway.feeds.request_neighbours(&gateway.settings.host.hall);
     }
     let known = gateway.feeds.neighbours();
     let random = rand::rng().random();
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -87,7 +87,7 @@
     /// rest while the request was placed or waited for a connection.
     pub(super) fn accepts_requests(&self, endpoint: &Registration) -> bool {
         let now = self.now();
-        self.registry.read(|registry| registry.start_takes_work(endpoint))
+        self.registry.read(|registry| registry.start_accepts_requests(endpoint))
             && self.with_endpoints(|endpoints| {
                 endpoints.rest_left(now, endpoint).is_none()
                     && !endpoints.is_uncertain(now, endpoint)
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -356,8 +356,8 @@
     }
 }
 
-/// Applies changes of the registry: closes idle connections to endpoints that take no work any
-/// more or have restarted, and checks endpoints whose state is uncertain.
+/// Applies changes of the registry: closes idle connections to endpoints that no longer accept
+/// requests or have restarted, and checks endpoints whose state is uncertain.
 pub(super) async fn follow_registry(gateway: Arc<Gateway>) {
     let mut watch = gateway.registry.watch();
     let mut last_change = 0;
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -194,7 +194,7 @@
     }
 
     /// Whether the start of this registration is the recorded one and takes new work.
-    pub fn start_takes_work(&self, endpoint: &Registration) -> bool {
+    pub fn start_accepts_requests(&self, endpoint: &Registration) -> bool {
         let known = self.get_ready(&endpoint.id);
         known.is_some_and(|known| known.started_at_ms == endpoint.started_at_ms)
     }
--- a/src/registry/tests/leaving.rs
+++ b/src/registry/tests/leaving.rs
@@ -30,8 +30,8 @@
     registry.merge(started(1_000, 5), Direct);
     registry.record_leaving(&start(1_000), Relayed);
     registry.merge(started(2_000, 1), Direct);
-    assert!(registry.start_takes_work(&started(2_000, 1)));
-    assert!(!registry.start_takes_work(&started(1_000, 5)));
+    assert!(registry.start_accepts_requests(&started(2_000, 1)));
+    assert!(!registry.start_accepts_requests(&started(1_000, 5)));
     // A late report is of the earlier start.
     assert_eq!(registry.record_leaving(&start(1_000), Relayed), None);
     assert!(registry.get_ready("e").is_some());
--- a/src/wire/message.rs
+++ b/src/wire/message.rs
@@ -170,7 +170,7 @@
             Open::Feed { host } => Some(*host),
             Open::Place { router, .. } | Open::Caller { router, .. } => Some(*router),
             Open::Leaving { router } => Some(*router),
-            Open::Join(newcomer) => Some(newcomer.host),
+            Open::Join(new_member) => Some(new_member.host),
             Open::Identify => None,
         }
     }
