--- a/src/peer.rs
+++ b/src/peer.rs
@@ -29,20 +29,20 @@
 
 /// The time-out for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time-out for the opening frame of a connection that a peer result.
+/// The time-out for the opening frame of a connection that a peer opened.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 /// The largest opening frame and the largest datagram, in bytes.
 const MAX_OPEN_BYTES: usize = 4_096;
 /// One in this many malformed datagrams is logged, which gives a few lines a minute during
 /// a rolling restart of a fleet.
-const MALFORMED_LOG_INTERVAL: u64 = 64;
+const MALFORMED_PER_LOG_LINE: u64 = 64;
 /// The interval at which the view is recomputed, and the pause after a failed accept.
 const VIEW_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The reading half of a connection between hosts.
 pub type PeerReader = FrameReader<BufReader<OwnedReadHalf>>;
 
-/// A connection that a peer result.
+/// A connection that a peer opened.
 #[derive(Debug)]
 pub struct Incoming {
     /// The opening frame, which names the purpose of the connection.
@@ -75,8 +75,8 @@
 }
 
 impl Peers {
-    /// Opens the peer port and starts to exchange heartbeats. Connections result by peers
-    /// are delivered by the receiver.
+    /// Opens the peer port and starts to exchange heartbeats. Connections opened by peers are
+    /// delivered by the receiver.
     pub async fn start(
         settings: &HostSettings,
         role: Role,
@@ -163,7 +163,7 @@
     fn count_malformed(&self, from: SocketAddr, error: &Error) {
         self.count_other_protocol(error);
         let dropped = self.malformed.fetch_add(1, Ordering::Relaxed);
-        if dropped.is_multiple_of(MALFORMED_LOG_INTERVAL) {
+        if dropped.is_multiple_of(MALFORMED_PER_LOG_LINE) {
             log::warn!(
                 "member: dropped a malformed datagram from {from}: {error}, {dropped} before"
             );
--- a/src/wire/frame.rs
+++ b/src/wire/frame.rs
@@ -165,8 +165,8 @@
         self.limit = limit;
     }
 
-    /// The same reader, whose reads fail with [`Error::SilenceTimeout`] once nothing has arrived for
-    /// [`SILENCE_TIMEOUT`].
+    /// The same reader, whose reads fail with [`Error::SilenceTimeout`] once nothing has
+    /// arrived for [`SILENCE_TIMEOUT`].
     pub fn with_silence_timeout(self) -> FrameReader<Pin<Box<TimeoutReader<R>>>> {
         let mut inner = TimeoutReader::new(self.inner);
         inner.set_timeout(Some(SILENCE_TIMEOUT));
--- a/src/wire/protocol.rs
+++ b/src/wire/protocol.rs
@@ -17,7 +17,7 @@
     postcard::to_stdvec(&(PROTOCOL, value)).map_err(|source| Error::Frame { source })
 }
 
-/// Decodes a value that follows the protocol version. Fails with [`Error::OtherProtocol`]
+/// Decodes a value that follows the protocol version. Fails with [`Error::ProtocolMismatch`]
 /// where the version is not [`PROTOCOL`].
 pub fn decode_versioned<T: DeserializeOwned>(bytes: &[u8]) -> Result<T> {
     match bytes.split_first() {
