--- a/src/gateway/leaving.rs
+++ b/src/gateway/leaving.rs
@@ -101,7 +101,7 @@
 fn apply_leaving_report(gateway: &Arc<Gateway>, report: &LeavingReport) {
     gateway.registry.record_leaving(&report.starts, Origin::Relayed);
     let now = gateway.now();
-    let leaving_notice = Notice { leaves: true, ..Notice::default() };
+    let leaving_notice = Notice { is_leaving: true, ..Notice::default() };
     for (start, address) in &report.unattributed {
         let (id, started_at_ms) = (start.id.as_str(), start.started_at_ms);
         let start = StartAddress { id, started_at_ms, address: *address };
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -49,7 +49,7 @@
     pub(super) fn apply_notice(self: &Arc<Self>, endpoint: &Registration, notice: &Notice) {
         let now = self.now();
         self.with_endpoints(|endpoints| endpoints.record_notice(now, endpoint, notice));
-        if notice.leaves {
+        if notice.is_leaving {
             self.count_notice(endpoint, "leaves");
             self.record_leaving(EndpointStart::of(endpoint));
         }
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
     /// The endpoint finishes its requests and accepts no new ones.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// The rest that it requests from the sender.
     pub rest: RequestedRest,
 }
@@ -49,7 +49,7 @@
     pub fn read(status: StatusCode, headers: &HeaderMap, leaving: &HeaderName) -> Notice {
         let is_leaving = |value: &HeaderValue| value.as_bytes().trim_ascii() == LEAVING_VALUE;
         Notice {
-            leaves: headers.get_all(leaving).iter().any(is_leaving),
+            is_leaving: headers.get_all(leaving).iter().any(is_leaving),
             rest: RequestedRest::read(status, headers),
         }
     }
@@ -58,7 +58,7 @@
 impl Notice {
     /// Whether the endpoint accepts no new requests, at least for a while.
     pub fn refuses_work(&self) -> bool {
-        self.leaves || self.rest.duration_ms().is_some()
+        self.is_leaving || self.rest.duration_ms().is_some()
     }
 }
 
--- a/src/notice/tests.rs
+++ b/src/notice/tests.rs
@@ -24,12 +24,12 @@
 #[test]
 fn any_answer_may_report_that_its_endpoint_is_leaving() {
     for status in [200, 404, 429, 500, 503] {
-        assert!(read(status, &[("x-leaving", "1")]).leaves);
-        assert!(read(status, &[("x-leaving", " 1 ")]).leaves);
-        assert!(read(status, &[("x-leaving", "0"), ("x-leaving", "1")]).leaves);
-        assert!(!read(status, &[]).leaves);
+        assert!(read(status, &[("x-leaving", "1")]).is_leaving);
+        assert!(read(status, &[("x-leaving", " 1 ")]).is_leaving);
+        assert!(read(status, &[("x-leaving", "0"), ("x-leaving", "1")]).is_leaving);
+        assert!(!read(status, &[]).is_leaving);
         for value in ["0", "", "false", "11", "1, 1"] {
-            assert!(!read(status, &[("x-leaving", value)]).leaves, "{value}");
+            assert!(!read(status, &[("x-leaving", value)]).is_leaving, "{value}");
         }
     }
 }
--- a/src/notice/tests/unattributed.rs
+++ b/src/notice/tests/unattributed.rs
@@ -14,18 +14,18 @@
     StartAddress { id: "e", started_at_ms, address: address(80) }
 }
 
-fn leaves() -> Notice {
-    Notice { leaves: true, ..Notice::default() }
+fn leaving_notice() -> Notice {
+    Notice { is_leaving: true, ..Notice::default() }
 }
 
-fn rests(time: u64) -> Notice {
+fn rest_notice(time: u64) -> Notice {
     Notice { rest: RequestedRest::For(time), ..Notice::default() }
 }
 
 #[test]
 fn a_notice_may_apply_to_any_later_start_at_the_address_until_one_answers() {
     let mut notices = UnattributedNotices::default();
-    notices.record(0, start(10), &leaves());
+    notices.record(0, start(10), &leaving_notice());
     assert!(!notices.may_apply_to(0, start(10)), "the notice counts for the known start itself");
     assert!(notices.may_apply_to(0, start(11)) && notices.may_apply_to(0, start(99)));
     assert!(!notices.may_apply_to(0, start(9)));
@@ -40,8 +40,8 @@
 #[test]
 fn a_start_that_repeats_the_notice_leaves_the_next_start_uncertain() {
     let mut notices = UnattributedNotices::default();
-    notices.record(0, start(10), &leaves());
-    notices.record(1, start(20), &leaves());
+    notices.record(0, start(10), &leaving_notice());
+    notices.record(1, start(20), &leaving_notice());
     assert!(!notices.may_apply_to(1, start(20)));
     assert!(notices.may_apply_to(1, start(30)));
 }
@@ -49,11 +49,11 @@
 #[test]
 fn a_notice_of_a_rest_expires_with_the_rest() {
     let mut notices = UnattributedNotices::default();
-    notices.record(100, start(10), &rests(50));
-    notices.record(110, start(10), &rests(10));
+    notices.record(100, start(10), &rest_notice(50));
+    notices.record(110, start(10), &rest_notice(10));
     assert!(notices.may_apply_to(150, start(20)), "with the remainder of the millisecond");
     assert!(!notices.may_apply_to(151, start(20)));
-    notices.record(200, start(10), &leaves());
+    notices.record(200, start(10), &leaving_notice());
     assert!(notices.may_apply_to(9_999_999, start(20)));
 }
 
@@ -61,8 +61,8 @@
 #[test]
 fn a_late_answer_makes_the_later_start_uncertain_again() {
     let mut notices = UnattributedNotices::default();
-    notices.record(0, start(20), &leaves());
-    notices.record(1, start(10), &leaves());
+    notices.record(0, start(20), &leaving_notice());
+    notices.record(1, start(10), &leaving_notice());
     assert!(notices.may_apply_to(1, start(20)));
 }
 
@@ -72,9 +72,13 @@
     for number in 0..5_000 {
         let id = format!("e{number}");
         let at = StartAddress { id: &id, ..start(10) };
-        notices.record(number, at, &leaves());
+        notices.record(number, at, &leaving_notice());
         for port in 1..9 {
-            notices.record(number, StartAddress { address: address(port), ..at }, &leaves());
+            notices.record(
+                number,
+                StartAddress { address: address(port), ..at },
+                &leaving_notice(),
+            );
         }
     }
     assert_eq!(notices.leaving(usize::MAX).count(), 4_096 * 4);
@@ -91,7 +95,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// The endpoint restarts, and from then on answers with or without a leaving notice.
-    Restart { leaves: bool },
+    Restart { reports_leaving: bool },
     /// The router learns of the current start.
     BecomeKnown,
     /// The router sends a request, if allowed.
@@ -100,7 +104,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        any::<bool>().prop_map(|leaves| Step::Restart { leaves }),
+        any::<bool>().prop_map(|reports_leaving| Step::Restart { reports_leaving }),
         Just(Step::BecomeKnown),
         Just(Step::Send),
         Just(Step::Send),
@@ -123,15 +127,15 @@
         for step in steps {
             now += 1;
             match step {
-                Step::Restart { leaves } => {
+                Step::Restart { reports_leaving } => {
                     current += 1;
-                    is_leaving = leaves;
+                    is_leaving = reports_leaving;
                 }
                 Step::BecomeKnown => known = current,
                 Step::Send if excluded.contains(&known) => {}
                 Step::Send if notices.may_apply_to(now, start(known)) => {
                     // The start is checked on a new connection first.
-                    let notice = if is_leaving { leaves() } else { Notice::default() };
+                    let notice = if is_leaving { leaving_notice() } else { Notice::default() };
                     notices.record(now, start(known), &notice);
                     if is_leaving {
                         excluded.insert(known);
@@ -141,7 +145,7 @@
                 }
                 Step::Send => {
                     prop_assert!(!reported_leaving.contains(&current), "{current} had reported leaving");
-                    let notice = if is_leaving { leaves() } else { Notice::default() };
+                    let notice = if is_leaving { leaving_notice() } else { Notice::default() };
                     notices.record(now, start(known), &notice);
                     if is_leaving {
                         excluded.insert(known);
--- a/src/notice/unattributed.rs
+++ b/src/notice/unattributed.rs
@@ -28,14 +28,14 @@
     address: SocketAddr,
     /// The latest start that was known when the connection of the answer was opened.
     known_start_ms: u64,
-    leaves: bool,
+    is_leaving: bool,
     resting_until: Millis,
     received_at: Millis,
 }
 
 impl AddressNotice {
     fn is_active(&self, now: Millis) -> bool {
-        self.leaves || self.resting_until > now
+        self.is_leaving || self.resting_until > now
     }
 
     fn may_apply_to(&self, start: StartAddress<'_>) -> bool {
@@ -71,7 +71,7 @@
         let received = AddressNotice {
             address: start.address,
             known_start_ms: start.started_at_ms,
-            leaves: notice.leaves,
+            is_leaving: notice.is_leaving,
             resting_until: notice.rest.duration_ms().map_or(0, |time| rest_end(now, time)),
             received_at: now,
         };
@@ -91,7 +91,7 @@
             .by_endpoint
             .iter()
             .flat_map(|(id, all)| all.iter().map(move |notice| (id, notice)));
-        let leaving = notices.filter(|(_, notice)| notice.leaves).take(max);
+        let leaving = notices.filter(|(_, notice)| notice.is_leaving).take(max);
         leaving.map(|(id, notice)| StartAddress {
             id,
             started_at_ms: notice.known_start_ms,
@@ -128,7 +128,7 @@
     };
     // An answer on an earlier connection may have come from the later start as well.
     known.known_start_ms = known.known_start_ms.min(new.known_start_ms);
-    known.leaves |= new.leaves;
+    known.is_leaving |= new.is_leaving;
     known.resting_until = known.resting_until.max(new.resting_until);
     known.received_at = new.received_at;
 }
--- a/src/router/notices.rs
+++ b/src/router/notices.rs
@@ -87,7 +87,7 @@
         name: &str,
         notice: &Notice,
     ) {
-        if notice.leaves && self.notices.record_leaving(endpoint) {
+        if notice.is_leaving && self.notices.record_leaving(endpoint) {
             log::info!("router: endpoint {name} reports in an answer that it is leaving");
             self.link(service).set_leaving(endpoint, true);
             tokio::spawn(watch_for_return(self.clone(), service, endpoint));
--- a/tests/starts/ways.rs
+++ b/tests/starts/ways.rs
@@ -99,7 +99,7 @@
     /// An answer came to a request that was sent when `sent_to` was known; `known` is now.
     pub fn answered(&mut self, now: u64, sent_to: Known, known: Known, said: Said) {
         let notice = Notice {
-            leaves: said.leaves,
+            is_leaving: said.leaves,
             rest: said.rests_ms.map_or(RequestedRest::None, RequestedRest::For),
         };
         self.unattributed.record(now, start_at(sent_to), &notice);
