--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -21,7 +21,7 @@
     /// No roll-out of the service was ever ordered.
     NoRollout,
     /// Another roll-out of the service is under way.
-    UnderWay,
+    RolloutInProgress,
     /// Another host leads.
     Elsewhere(HostId),
     /// The outcome or state is not known for certain; the call may be sent again.
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -68,8 +68,8 @@
                     "rollout: order of {version} for {service} within {seconds} s: {outcome:?}"
                 );
                 match outcome {
-                    OrderOutcome::Taken => Ok(()),
-                    OrderOutcome::UnderWay => Err(CallError::UnderWay),
+                    OrderOutcome::Accepted => Ok(()),
+                    OrderOutcome::InProgress => Err(CallError::RolloutInProgress),
                     OrderOutcome::UnknownService => Err(CallError::UnknownService),
                 }
             }
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -150,9 +150,9 @@
 #[test]
 fn two_services_can_have_roll_outs_at_the_same_time() {
     let mut state = with_services();
-    assert_eq!(state.apply(order("llm", "v2")), Reply::Rollout(OrderOutcome::Taken));
-    assert_eq!(state.apply(order("app", "v5")), Reply::Rollout(OrderOutcome::Taken));
-    assert_eq!(state.apply(order("app", "v6")), Reply::Rollout(OrderOutcome::UnderWay));
+    assert_eq!(state.apply(order("llm", "v2")), Reply::Rollout(OrderOutcome::Accepted));
+    assert_eq!(state.apply(order("app", "v5")), Reply::Rollout(OrderOutcome::Accepted));
+    assert_eq!(state.apply(order("app", "v6")), Reply::Rollout(OrderOutcome::InProgress));
     let number = state.rollouts().get("llm").unwrap().number;
     state.apply(step(number, Stage::Shifting));
     let stage = |service| state.rollouts().get(service).unwrap().stage;
--- a/src/operator/control.rs
+++ b/src/operator/control.rs
@@ -64,7 +64,7 @@
         CallError::Invalid(refusal) => Status::invalid_argument(refusal.to_string()),
         CallError::UnknownService => Status::not_found(format!("no service is called '{service}'")),
         CallError::NoRollout => Status::not_found(format!("service '{service}' had no roll-out")),
-        CallError::UnderWay => Status::failed_precondition(format!(
+        CallError::RolloutInProgress => Status::failed_precondition(format!(
             "another roll-out of service '{service}' is under way"
         )),
         _ => no_decision(),
--- a/src/rollout/model.rs
+++ b/src/rollout/model.rs
@@ -87,9 +87,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It is accepted, now or when it was first sent.
-    Taken,
+    Accepted,
     /// Another rollout of the service is in progress.
-    UnderWay,
+    InProgress,
     /// There is no such service.
     UnknownService,
 }
@@ -111,17 +111,17 @@
             let is_same = previous.order.is_same_request(&order);
             let is_past_window = order.at_ms >= previous.order.at_ms + RESEND_WINDOW_MS;
             if is_same && (!previous.stage.is_final() || !is_past_window) {
-                return OrderOutcome::Taken;
+                return OrderOutcome::Accepted;
             }
             if !previous.stage.is_final() {
-                return OrderOutcome::UnderWay;
+                return OrderOutcome::InProgress;
             }
         }
         self.revision += 1;
         let (number, stage_at_ms) = (self.revision, order.at_ms);
         let rollout = Rollout { number, order, stage: Stage::Canary, stage_at_ms };
         self.by_service.insert(rollout.order.service.clone(), rollout);
-        OrderOutcome::Taken
+        OrderOutcome::Accepted
     }
 
     /// Moves a rollout to its next stage; an outdated step changes nothing.
--- a/src/rollout/tests.rs
+++ b/src/rollout/tests.rs
@@ -22,10 +22,10 @@
 #[test]
 fn a_repeated_order_changes_nothing_and_another_is_refused() {
     let mut rollouts = Rollouts::default();
-    assert_eq!(rollouts.start(order("v2", 0)), OrderOutcome::Taken);
+    assert_eq!(rollouts.start(order("v2", 0)), OrderOutcome::Accepted);
     let accepted = rollouts.clone();
-    assert_eq!(rollouts.start(order("v2", 3_000)), OrderOutcome::Taken);
-    assert_eq!(rollouts.start(order("v3", 3_000)), OrderOutcome::UnderWay);
+    assert_eq!(rollouts.start(order("v2", 3_000)), OrderOutcome::Accepted);
+    assert_eq!(rollouts.start(order("v3", 3_000)), OrderOutcome::InProgress);
     assert_eq!(rollouts, accepted);
 }
 
@@ -34,9 +34,9 @@
     let mut rollouts = Rollouts::default();
     rollouts.start(order("v2", 0));
     rollouts.step(&step(&rollouts, Stage::RolledBack));
-    assert_eq!(rollouts.start(order("v2", 4_000)), OrderOutcome::Taken);
+    assert_eq!(rollouts.start(order("v2", 4_000)), OrderOutcome::Accepted);
     assert_eq!(rollouts.get("llm").unwrap().stage, Stage::RolledBack);
-    assert_eq!(rollouts.start(order("v2", 60_000)), OrderOutcome::Taken);
+    assert_eq!(rollouts.start(order("v2", 60_000)), OrderOutcome::Accepted);
     assert_eq!(rollouts.get("llm").unwrap().stage, Stage::Canary);
 }
 
