--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A soak of the real programs: faults by seed while an operator, callers and replicas
-//! use the fleet, and checks of what they saw. `docs/SOAK.md` says how to run it long.
+//! A soak test of the real programs: injects seeded faults while an operator, callers and
+//! replicas use the fleet, then checks what they observed. `docs/SOAK.md` describes long runs.
 
 #[path = "soak/actors.rs"]
 mod actors;
@@ -21,7 +21,7 @@
 mod registrations;
 #[path = "soak/silence.rs"]
 mod silence;
-// Shared with the tests of the platform, which use more of them.
+// Shared with the tests of the platform, which use more of these items.
 #[allow(dead_code)]
 #[path = "platform/http.rs"]
 mod http;
@@ -36,37 +36,37 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use actors::Stage;
-use crashers::Crashers;
+use actors::Context;
+use crashers::CrashScenario;
 use fleet::{Fleet, Size};
-use history::{History, Says};
+use history::{History, RouteAnswer};
 use replica::{Behaviour, Replica};
 
-/// Processes in CI; `SOAK_CONTROLS` and `SOAK_ROUTERS` for others.
+/// Number of processes in CI; `SOAK_CONTROLS` and `SOAK_ROUTERS` override it.
 const SIZE: Size = Size { controls: 3, routers: 2 };
-/// Callers of each router.
+/// Concurrent callers per router.
 const CALLERS: usize = 3;
-/// How long faults go on in CI; `SOAK_SECONDS` for longer.
-const SECONDS: u64 = 12;
-/// The seeds of CI; `SOAK_SEEDS` for others, as `FIRST..LAST`.
+/// Seconds for which faults are injected in CI; `SOAK_SECONDS` overrides it.
+const FAULTS_S: u64 = 12;
+/// The seeds of CI; `SOAK_SEEDS` overrides them, as `FIRST..LAST`.
 const SEEDS: std::ops::Range<u64> = 1..4;
-/// What has not come about by then does not come about.
-const NEVER: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(50);
+/// How long [`eventually`] waits before the condition counts as not met.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-fn setting<T: std::str::FromStr>(name: &str) -> Option<T> {
+fn variable<T: std::str::FromStr>(name: &str) -> Option<T> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 fn size() -> Size {
     Size {
-        controls: setting("SOAK_CONTROLS").unwrap_or(SIZE.controls),
-        routers: setting("SOAK_ROUTERS").unwrap_or(SIZE.routers),
+        controls: variable("SOAK_CONTROLS").unwrap_or(SIZE.controls),
+        routers: variable("SOAK_ROUTERS").unwrap_or(SIZE.routers),
     }
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let given: Option<String> = setting("SOAK_SEEDS");
+    let given: Option<String> = variable("SOAK_SEEDS");
     let range = given.and_then(|text| {
         let (first, last) = text.split_once("..")?;
         Some(first.parse().ok()?..last.parse().ok()?)
@@ -74,14 +74,14 @@
     range.unwrap_or(SEEDS)
 }
 
-/// Waits until something holds, but not for ever; whether it came about.
-async fn comes_about<F: Future<Output = bool>>(holds: impl Fn() -> F) -> bool {
+/// Polls until `condition` holds; returns whether it did within [`WAIT_TIMEOUT`].
+async fn eventually<F: Future<Output = bool>>(condition: impl Fn() -> F) -> bool {
     let wait = async {
-        while !holds().await {
-            tokio::time::sleep(POLL).await;
+        while !condition().await {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(NEVER, wait).await.is_ok()
+    tokio::time::timeout(WAIT_TIMEOUT, wait).await.is_ok()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -92,101 +92,101 @@
 }
 
 async fn soak(seed: u64) {
-    let time = Duration::from_secs(setting("SOAK_SECONDS").unwrap_or(SECONDS));
+    let time = Duration::from_secs(variable("SOAK_SECONDS").unwrap_or(FAULTS_S));
     let size = size();
     println!("seed {seed}, {size:?}");
     let fleet = Arc::new(Fleet::start(size));
     let history = Arc::new(Mutex::new(History::default()));
-    let stage = Stage { fleet: fleet.clone(), history, over: CancellationToken::new() };
+    let context = Context { fleet: fleet.clone(), history, finished: CancellationToken::new() };
     let replicas = [
         Replica::start("i-1", Behaviour::Answer).await,
         Replica::start("i-2", Behaviour::Slow(Duration::from_millis(20))).await,
     ];
     let mut actors = JoinSet::new();
-    actors.spawn(actors::operate(stage.clone(), seed));
+    actors.spawn(actors::run_operator(context.clone(), seed));
     for (number, replica) in replicas.iter().enumerate() {
-        actors.spawn(registrations::register_on(
-            stage.clone(),
+        actors.spawn(registrations::run_registrations(
+            context.clone(),
             replica.clone(),
             seed + number as u64,
         ));
     }
-    let bad = Replica::start("i-new", Behaviour::Fail).await;
-    assert!(comes_about(|| serves(&stage)).await, "the fleet does not begin to serve");
-    actors.spawn(actors::roll_out_on(stage.clone(), bad.clone(), seed));
-    let leaver = Replica::start("i-leaves", Behaviour::Answer).await;
-    actors.spawn(registrations::come_and_leave_on(stage.clone(), leaver.clone(), seed));
-    let speaker = Replica::start("i-speaks", Behaviour::Answer).await;
-    actors.spawn(notices::speak_on(stage.clone(), speaker.clone(), seed));
+    let failing = Replica::start("i-new", Behaviour::Fail).await;
+    assert!(eventually(|| serves(&context)).await, "the fleet does not start serving");
+    actors.spawn(actors::run_rollouts(context.clone(), failing.clone(), seed));
+    let leaving = Replica::start("i-leaves", Behaviour::Answer).await;
+    actors.spawn(registrations::run_leaving_replica(context.clone(), leaving.clone(), seed));
+    let notifying = Replica::start("i-speaks", Behaviour::Answer).await;
+    actors.spawn(notices::run_notices(context.clone(), notifying.clone(), seed));
     (0..CALLERS * size.routers)
-        .for_each(|caller| drop(actors.spawn(actors::call_on(stage.clone(), caller))));
+        .for_each(|caller| drop(actors.spawn(actors::run_calls(context.clone(), caller))));
     (0..size.routers)
-        .for_each(|number| drop(actors.spawn(actors::sight_on(stage.clone(), number))));
-    actors.spawn(actors::read_on(stage.clone(), seed));
-    let crashers = tokio::spawn(Crashers::new(stage.clone(), seed).ask_on());
-    faults::happen(&fleet, seed, time).await;
-    let recovered = comes_about(|| serves(&stage)).await;
-    stage.over.cancel();
+        .for_each(|number| drop(actors.spawn(actors::run_route_checks(context.clone(), number))));
+    actors.spawn(actors::run_reads(context.clone(), seed));
+    let crash_scenario = tokio::spawn(CrashScenario::new(context.clone(), seed).run());
+    faults::inject_faults(&fleet, seed, time).await;
+    let has_recovered = eventually(|| serves(&context)).await;
+    context.finished.cancel();
     actors.join_all().await;
-    let used = notices::is_used_again(&stage, &speaker, seed).await;
-    let refused = crashers.await.unwrap().refused_everywhere().await;
-    let kept = comes_about(|| is_kept(&stage)).await;
-    let mut history = stage.history.lock().unwrap().clone();
-    history.arrivals = speaker.arrivals();
-    let all = replicas.iter().chain([&bad, &leaver, &speaker]);
+    let is_used = notices::is_used_again(&context, &notifying, seed).await;
+    let is_refused = crash_scenario.await.unwrap().refused_everywhere().await;
+    let is_current = eventually(|| is_current_everywhere(&context)).await;
+    let mut history = context.history.lock().unwrap().clone();
+    history.arrivals = notifying.arrivals();
+    let all = replicas.iter().chain([&failing, &leaving, &notifying]);
     history.runs = all.flat_map(|r| r.seen()).map(|seen| seen.id()).collect();
-    drop(stage);
+    drop(context);
     report(&history);
-    let mut broken = history.broken();
-    if !recovered {
-        broken.push("not served after the last fault".into());
+    let mut violations = history.violations();
+    if !has_recovered {
+        violations.push("requests are not served after the last fault".into());
     }
-    if !refused {
-        broken.push("what crashes replicas is not refused everywhere".into());
+    if !is_refused {
+        violations.push("requests that crash replicas are not refused by every router".into());
     }
-    if !used {
-        broken.push("a replica that takes work again is not used".into());
+    if !is_used {
+        violations.push("a replica that accepts work again gets no requests".into());
     }
-    if !kept {
-        broken.push("the newest acknowledged version is not in force everywhere".into());
+    if !is_current {
+        violations.push("the newest acknowledged version is not in force everywhere".into());
     }
-    if !broken.is_empty() {
+    if !violations.is_empty() {
         let logs = Arc::into_inner(fleet).map(|mut fleet| fleet.keep_logs());
-        panic!("seed {seed}, logs in {logs:?}:\n{}", broken.join("\n"));
+        panic!("seed {seed}, logs in {logs:?}:\n{}", violations.join("\n"));
     }
 }
 
-/// Whether every router knows the newest acknowledged route and replicas are known.
-async fn serves(stage: &Stage) -> bool {
-    is_in_force(stage).await && {
+/// Whether every router has the newest acknowledged route and serves a request.
+async fn serves(context: &Context) -> bool {
+    is_in_force(context).await && {
         let mut answered = true;
-        for number in 0..stage.fleet.size.routers {
-            answered &= actors::is_served(stage, number).await;
+        for number in 0..context.fleet.size.routers {
+            answered &= actors::is_served(context, number).await;
         }
         answered
     }
 }
 
-async fn is_in_force(stage: &Stage) -> bool {
-    let newest = stage.history.lock().unwrap().acknowledged.last().map(|a| a.version);
+async fn is_in_force(context: &Context) -> bool {
+    let newest = context.history.lock().unwrap().acknowledged.last().map(|a| a.version);
     let Some(version) = newest else { return false };
-    for number in 0..stage.fleet.size.routers {
-        if actors::sight(stage, number, version).await != Some(Says::Knows) {
+    for number in 0..context.fleet.size.routers {
+        if actors::check_route(context, number, version).await != Some(RouteAnswer::Known) {
             return false;
         }
     }
     true
 }
 
-/// Whether every router and every control host has what was acknowledged last.
-async fn is_kept(stage: &Stage) -> bool {
-    let newest = stage.history.lock().unwrap().acknowledged.last().map(|a| a.version);
-    for control in 0..stage.fleet.size.controls {
-        if actors::read(stage, control).await < newest {
+/// Whether every control host and every router has the version acknowledged last.
+async fn is_current_everywhere(context: &Context) -> bool {
+    let newest = context.history.lock().unwrap().acknowledged.last().map(|a| a.version);
+    for control in 0..context.fleet.size.controls {
+        if actors::read(context, control).await < newest {
             return false;
         }
     }
-    is_in_force(stage).await
+    is_in_force(context).await
 }
 
 fn report(history: &History) {
@@ -194,17 +194,17 @@
         let answers = history.calls.iter().filter_map(|c| c.answer.as_ref());
         answers.filter(|(status, ..)| *status == wanted).count()
     };
-    let (behind, denying) = history.behind_ms();
-    let rolled_back = history.rollout_reads.iter().filter_map(|read| read.said.as_ref());
+    let (lag_ms, not_found_lag_ms) = history.max_lag_ms();
+    let rolled_back = history.rollout_reads.iter().filter_map(|read| read.rollout.as_ref());
     let rolled_back = rolled_back.filter(|(_, state)| state == "rolled_back");
     println!(
-        "{} answers said that their replica leaves, {} asked for rest; {} roll-outs ordered, {} seen rolled back; {} leaves; {} changes, {} reads, {} calls: {} answered, {} refused, {} unknown, {} without an \
-         answer; a router was behind for {behind} ms at most, and denied routes for {denying} ms",
+        "{} answers announced that their replica leaves, {} requested a rest; {} roll-outs ordered, {} seen rolled back; {} leaving replicas; {} changes, {} reads, {} calls: {} answered, {} refused, {} unknown, {} without an \
+         answer; a router lagged by up to {lag_ms} ms, and answered 404 for up to {not_found_lag_ms} ms",
         history.arrivals.iter().filter(|arrival| arrival.leaving).count(),
         history.arrivals.iter().filter(|arrival| arrival.turned_away).count(),
         history.orders.len(),
         rolled_back.map(|(number, _)| number).collect::<std::collections::BTreeSet<_>>().len(),
-        history.leaves.len(),
+        history.leave_outcomes.len(),
         history.acknowledged.len(),
         history.reads.len(),
         history.calls.len(),
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -1,8 +1,10 @@
-//! Each check of the soak fails on a history in which its promise is broken.
+//! Each check of the soak reports a violation on a history in which its guarantee is broken.
 
 use std::time::{Duration, Instant};
 
-use crate::history::{Acknowledged, Call, History, Order, Read, RolloutRead, Says, Sighting, Told};
+use crate::history::{
+    Acknowledged, Call, CallTimes, History, Order, Read, RolloutRead, RouteAnswer, RouteCheck,
+};
 use crate::replica::Arrival;
 
 fn after(start: Instant, ms: u64) -> Instant {
@@ -10,15 +12,15 @@
 }
 
 fn answered(id: &str, once: bool, status: u16, body: &str) -> Call {
-    Call { id: id.into(), router: 0, told: None, once, answer: Some((status, body.into(), true)) }
+    Call { id: id.into(), router: 0, times: None, once, answer: Some((status, body.into(), true)) }
 }
 
-fn sighting(start: Instant, at: u64, version: u64, says: Says) -> Sighting {
+fn route_check(start: Instant, at: u64, version: u64, answer: RouteAnswer) -> RouteCheck {
     let (asked, answered) = (after(start, at), after(start, at + 1));
-    Sighting { router: 0, life: 1, asked, answered, version, says }
+    RouteCheck { router: 0, start_number: 1, asked, answered, version, answer }
 }
 
-/// A history in which every promise is kept.
+/// A history without violations.
 fn sound() -> (History, Instant) {
     let start = Instant::now();
     let mut history = History::default();
@@ -30,136 +32,149 @@
     history.reads.push(Read { asked: after(start, 15), version: 2, text: "two".into() });
     history.calls.push(answered("a", true, 200, "answer to a"));
     history.calls.push(answered("b", true, 503, ""));
-    history.calls.push(Call { id: "c".into(), router: 0, told: None, once: true, answer: None });
+    history.calls.push(Call { id: "c".into(), router: 0, times: None, once: true, answer: None });
     history.calls.push(answered("d", false, 200, "answer to d"));
     history.runs = ["a", "c", "d", "d"].map(String::from).to_vec();
-    history.sightings.push(sighting(start, 30, 2, Says::Denies));
-    history.sightings.push(sighting(start, 40, 2, Says::Knows));
-    history.sightings.push(Sighting { life: 2, ..sighting(start, 50, 2, Says::Denies) });
-    history.leaves.push(true);
+    history.route_checks.push(route_check(start, 30, 2, RouteAnswer::NotFound));
+    history.route_checks.push(route_check(start, 40, 2, RouteAnswer::Known));
+    history
+        .route_checks
+        .push(RouteCheck { start_number: 2, ..route_check(start, 50, 2, RouteAnswer::NotFound) });
+    history.leave_outcomes.push(true);
     history.orders.push(Order { number: 2, at: after(start, 10) });
-    history.rollout_reads.push(rollout(after(start, 5), None));
-    history.rollout_reads.push(rollout(after(start, 15), Some((2, "running"))));
-    history.rollout_reads.push(rollout(after(start, 20), Some((2, "rolled_back"))));
+    history.rollout_reads.push(rollout_read(after(start, 5), None));
+    history.rollout_reads.push(rollout_read(after(start, 15), Some((2, "running"))));
+    history.rollout_reads.push(rollout_read(after(start, 20), Some((2, "rolled_back"))));
     (history, start)
 }
 
-fn rollout(asked: Instant, said: Option<(u64, &str)>) -> RolloutRead {
-    RolloutRead { asked, said: said.map(|(number, state)| (number, state.into())) }
+fn rollout_read(asked: Instant, rollout: Option<(u64, &str)>) -> RolloutRead {
+    RolloutRead { asked, rollout: rollout.map(|(number, state)| (number, state.into())) }
 }
 
-fn breaks(change: impl FnOnce(&mut History, Instant)) -> usize {
+fn violations_after(change: impl FnOnce(&mut History, Instant)) -> usize {
     let (mut history, start) = sound();
-    assert_eq!(history.broken(), Vec::<String>::new());
+    assert_eq!(history.violations(), Vec::<String>::new());
     change(&mut history, start);
-    history.broken().len()
+    history.violations().len()
 }
 
 #[test]
-fn a_read_that_is_older_than_what_was_acknowledged_is_caught() {
+fn a_read_older_than_the_acknowledged_version_is_caught() {
     let read = |start| Read { asked: after(start, 21), version: 1, text: "one".into() };
-    assert_eq!(breaks(|h, start| h.reads.push(read(start))), 1);
+    assert_eq!(violations_after(|h, start| h.reads.push(read(start))), 1);
 }
 
 #[test]
-fn a_version_that_reads_otherwise_than_it_was_sent_is_caught() {
-    assert_eq!(breaks(|h, _| h.reads[1].text = "too".into()), 1);
+fn a_version_with_an_altered_text_is_caught() {
+    assert_eq!(violations_after(|h, _| h.reads[1].text = "too".into()), 1);
 }
 
 #[test]
-fn a_sound_change_that_is_refused_is_caught() {
-    assert_eq!(breaks(|h, _| h.refused_changes.push("refused".into())), 1);
+fn a_valid_change_that_is_refused_is_caught() {
+    assert_eq!(violations_after(|h, _| h.refused_changes.push("refused".into())), 1);
 }
 
 #[test]
 fn an_answer_to_another_request_is_caught() {
-    assert_eq!(breaks(|h, _| h.calls[0] = answered("a", true, 200, "answer to d")), 1);
+    assert_eq!(violations_after(|h, _| h.calls[0] = answered("a", true, 200, "answer to d")), 1);
 }
 
 #[test]
-fn an_answer_that_is_not_whole_is_caught() {
+fn an_incomplete_answer_is_caught() {
     let part = Some((200, "answer to a".to_string(), false));
-    assert_eq!(breaks(|h, _| h.calls[0].answer = part), 1);
+    assert_eq!(violations_after(|h, _| h.calls[0].answer = part), 1);
 }
 
 #[test]
-fn a_promise_of_no_run_that_is_false_is_caught() {
-    assert_eq!(breaks(|h, _| h.runs.push("b".into())), 1);
+fn a_run_of_a_request_reported_as_not_run_is_caught() {
+    assert_eq!(violations_after(|h, _| h.runs.push("b".into())), 1);
 }
 
 #[test]
-fn a_second_run_of_what_may_run_once_is_caught() {
-    assert_eq!(breaks(|h, _| h.runs.push("c".into())), 1);
+fn a_second_run_of_a_non_idempotent_request_is_caught() {
+    assert_eq!(violations_after(|h, _| h.runs.push("c".into())), 1);
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_caught() {
-    assert_eq!(breaks(|h, _| h.runs.push("z".into())), 1);
+fn a_run_without_a_request_is_caught() {
+    assert_eq!(violations_after(|h, _| h.runs.push("z".into())), 1);
 }
 
 #[test]
-fn a_router_is_behind_from_the_first_version_that_it_missed() {
+fn the_lag_of_a_router_counts_from_the_first_missed_version() {
     let (mut history, start) = sound();
     for (version, at) in [(3, 100), (4, 200), (5, 300)] {
         history.acknowledged.push(Acknowledged { version, at: after(start, at) });
     }
-    history.sightings.push(sighting(start, 350, 5, Says::Denies));
-    history.sightings.push(sighting(start, 400, 5, Says::Unsure));
-    assert_eq!(history.behind_ms(), (300, 250));
+    history.route_checks.push(route_check(start, 350, 5, RouteAnswer::NotFound));
+    history.route_checks.push(route_check(start, 400, 5, RouteAnswer::Uncertain));
+    assert_eq!(history.max_lag_ms(), (300, 250));
 }
 
 #[test]
-fn a_router_that_goes_back_is_caught() {
-    assert_eq!(breaks(|h, start| h.sightings.push(sighting(start, 60, 1, Says::Denies))), 1);
+fn a_router_that_returns_to_an_older_version_is_caught() {
+    assert_eq!(
+        violations_after(|h, start| h.route_checks.push(route_check(
+            start,
+            60,
+            1,
+            RouteAnswer::NotFound
+        ))),
+        1
+    );
 }
 
 #[test]
 fn an_acknowledged_order_that_is_lost_is_caught() {
-    assert_eq!(breaks(|h, start| h.rollout_reads.push(rollout(after(start, 25), None))), 1);
-    let older = |start| rollout(after(start, 35), Some((2, "rolled_back")));
+    assert_eq!(
+        violations_after(|h, start| h.rollout_reads.push(rollout_read(after(start, 25), None))),
+        1
+    );
+    let older = |start| rollout_read(after(start, 35), Some((2, "rolled_back")));
     let orders = |h: &mut History, start| {
         h.orders.push(Order { number: 3, at: after(start, 30) });
         h.rollout_reads.push(older(start));
     };
-    assert_eq!(breaks(orders), 1);
+    assert_eq!(violations_after(orders), 1);
 }
 
 #[test]
-fn a_bad_release_that_is_rolled_out_is_caught() {
-    let done = |start| rollout(after(start, 25), Some((2, "done")));
-    assert_eq!(breaks(|h, start| h.rollout_reads.push(done(start))), 1);
+fn a_completed_roll_out_of_a_failing_release_is_caught() {
+    let done = |start| rollout_read(after(start, 25), Some((2, "done")));
+    assert_eq!(violations_after(|h, start| h.rollout_reads.push(done(start))), 1);
 }
 
 #[test]
-fn a_release_that_is_rolled_out_again_after_its_roll_back_is_caught() {
-    let again = |start| rollout(after(start, 25), Some((2, "running")));
-    assert_eq!(breaks(|h, start| h.rollout_reads.push(again(start))), 1);
+fn a_roll_out_that_runs_again_after_its_roll_back_is_caught() {
+    let again = |start| rollout_read(after(start, 25), Some((2, "running")));
+    assert_eq!(violations_after(|h, start| h.rollout_reads.push(again(start))), 1);
 }
 
 #[test]
-fn a_replica_that_leaves_and_still_gets_requests_is_caught() {
-    assert_eq!(breaks(|h, _| h.leaves.push(false)), 1);
+fn a_leaving_replica_that_still_gets_requests_is_caught() {
+    assert_eq!(violations_after(|h, _| h.leave_outcomes.push(false)), 1);
 }
 
 #[test]
-fn a_request_that_is_taken_for_one_that_crashes_replicas_is_caught() {
-    assert_eq!(breaks(|history, _| history.mistaken.push("innocent".into())), 1);
+fn a_harmless_request_refused_as_crashing_is_caught() {
+    assert_eq!(violations_after(|history, _| history.wrongly_refused.push("innocent".into())), 1);
 }
 
 #[test]
-fn a_router_that_serves_nothing_does_not_count_as_passing_a_replica_by() {
+fn the_router_with_the_fewest_served_calls_is_counted() {
     let (history, _) = sound();
-    assert_eq!(history.served_by_each(0, 1), 2);
-    assert_eq!(history.served_by_each(3, 1), 1);
-    assert_eq!(history.served_by_each(0, 2), 0);
+    assert_eq!(history.min_served(0, 1), 2);
+    assert_eq!(history.min_served(3, 1), 1);
+    assert_eq!(history.min_served(0, 2), 0);
 }
 
-/// A call to a router, and its arrival at the replica that speaks, `at` milliseconds after the
-/// start.
-fn reaches(history: &mut History, start: Instant, id: &str, at: u64, life: u32) -> Arrival {
-    let told = Told { life, asked: after(start, at), answered: after(start, at + 2) };
+/// Records a call to a router `at` milliseconds after `start`, and returns its arrival at the
+/// replica that sends notices.
+fn arrival(history: &mut History, start: Instant, id: &str, at: u64, start_number: u32) -> Arrival {
+    let times = CallTimes { start_number, asked: after(start, at), answered: after(start, at + 2) };
     let answer = Some((200, format!("answer to {id}"), true));
-    history.calls.push(Call { id: id.into(), router: 0, told: Some(told), once: false, answer });
+    history.calls.push(Call { id: id.into(), router: 0, times: Some(times), once: false, answer });
     history.runs.push(id.into());
     let at = after(start, at + 1);
     let (leaving, turned_away) = (false, false);
@@ -167,31 +182,31 @@
 }
 
 #[test]
-fn a_request_to_a_replica_that_leaves_by_its_answers_is_caught() {
-    let second = |at, life, of_start| {
-        breaks(|h, start| {
-            let first = Arrival { leaving: true, ..reaches(h, start, "n1", 10, 1) };
-            let later = Arrival { start: of_start, ..reaches(h, start, "n2", at, life) };
+fn a_request_to_a_replica_that_announced_leaving_in_an_answer_is_caught() {
+    let violations_of_second = |at, start_number, of_start| {
+        violations_after(|h, start| {
+            let first = Arrival { leaving: true, ..arrival(h, start, "n1", 10, 1) };
+            let later = Arrival { start: of_start, ..arrival(h, start, "n2", at, start_number) };
             h.arrivals = vec![first, later];
         })
     };
-    assert_eq!(second(13, 1, 1), 1);
-    assert_eq!(second(11, 1, 1), 0, "it was asked before the answer had come");
-    assert_eq!(second(13, 2, 1), 0, "the router has started again");
-    assert_eq!(second(13, 1, 2), 0, "the replica has started again");
+    assert_eq!(violations_of_second(13, 1, 1), 1);
+    assert_eq!(violations_of_second(11, 1, 1), 0, "it was sent before the answer arrived");
+    assert_eq!(violations_of_second(13, 2, 1), 0, "the router was restarted");
+    assert_eq!(violations_of_second(13, 1, 2), 0, "the replica was restarted");
 }
 
 #[test]
-fn a_request_to_a_replica_that_rests_is_caught() {
-    let second = |at| {
-        breaks(|h, start| {
+fn a_request_to_a_resting_replica_is_caught() {
+    let violations_of_second = |at| {
+        violations_after(|h, start| {
             let rests_until = Some(after(start, 100));
-            let first = reaches(h, start, "n1", 10, 1);
-            let later = reaches(h, start, "n2", at, 1);
+            let first = arrival(h, start, "n1", 10, 1);
+            let later = arrival(h, start, "n2", at, 1);
             h.arrivals = vec![Arrival { turned_away: true, rests_until, ..first }, later];
         })
     };
-    assert_eq!(second(50), 1);
-    assert_eq!(second(11), 0, "it was asked before the answer had come");
-    assert_eq!(second(100), 0, "the rest is over");
+    assert_eq!(violations_of_second(50), 1);
+    assert_eq!(violations_of_second(11), 0, "it was sent before the answer arrived");
+    assert_eq!(violations_of_second(100), 0, "the rest is over");
 }
--- a/tests/soak/fleet.rs
+++ b/tests/soak/fleet.rs
@@ -1,5 +1,5 @@
-//! Control hosts and routers as separate processes, each on a loopback address of its
-//! own, that are killed, paused, stopped and started again, and what connects them.
+//! Control hosts and routers as separate processes, each on its own loopback address, with
+//! functions to kill, pause, stop and restart them and to disturb their connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::{Child, Command, Stdio};
@@ -14,7 +14,7 @@
 
 use crate::proxy::Proxy;
 
-/// How many processes of each kind there are.
+/// Number of processes of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub controls: usize,
@@ -26,29 +26,29 @@
         self.controls + self.routers
     }
 
-    /// A router's place among the processes: control hosts first.
+    /// Index of a router among the processes: control hosts come first.
     pub fn router(self, number: usize) -> usize {
         self.controls + number
     }
 }
 
-/// Control hosts that are named to every process, as on the platform.
-const SEEDS: usize = 3;
-/// Data halls, over which hosts are dealt out.
+/// Number of control hosts that every process is given as seeds, as on the platform.
+const SEED_HOSTS: usize = 3;
+/// Data halls, to which hosts are assigned in turn.
 const HALLS: [&str; 3] = ["a", "b", "c"];
-/// Ports, the same on all machines.
-const PEER: u16 = 7_400;
-/// Where the relay before a control host listens.
-const RELAY: u16 = 7_500;
-const OPERATOR: u16 = 7_401;
-const CONTROL: u16 = 8_705;
-const FRONT: u16 = 8_703;
-const READY: u16 = 8_704;
-/// How often a planned stop is looked at.
-const POLL: Duration = Duration::from_millis(20);
-
-/// Each fleet of a test run has addresses of its own, from this network on.
-static NEXT: AtomicU32 = AtomicU32::new(FIRST_NET);
+/// Ports, the same on every address.
+const PEER_PORT: u16 = 7_400;
+/// Port of the relay in front of a control host.
+const RELAY_PORT: u16 = 7_500;
+const OPERATOR_PORT: u16 = 7_401;
+const CONTROL_PORT: u16 = 8_705;
+const FRONT_PORT: u16 = 8_703;
+const READY_PORT: u16 = 8_704;
+/// How often [`Fleet::stop`] checks whether the process has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Second octet of the next fleet's addresses, so that each fleet of a test run has its own.
+static NEXT_NET: AtomicU32 = AtomicU32::new(FIRST_NET);
 const FIRST_NET: u32 = 20;
 const NETS: u32 = 200;
 
@@ -57,8 +57,8 @@
     addresses: Vec<Ipv4Addr>,
     folder: TempDir,
     processes: Mutex<Vec<Option<Child>>>,
-    lives: Vec<AtomicU32>,
-    /// Before each control host: routers open connections, and take none.
+    start_counts: Vec<AtomicU32>,
+    /// One in front of each control host: routers open connections but accept none.
     proxies: Vec<Proxy>,
 }
 
@@ -70,12 +70,13 @@
 
 impl Fleet {
     pub fn start(size: Size) -> Fleet {
-        let number = (NEXT.fetch_add(1, Ordering::Relaxed) - FIRST_NET) % NETS + FIRST_NET;
-        // Processes of test runs beside this one differ in their numbers.
+        let number = (NEXT_NET.fetch_add(1, Ordering::Relaxed) - FIRST_NET) % NETS + FIRST_NET;
+        // Concurrent test runs have different process ids.
         let net = (std::process::id() % 250 + 1) as u8;
         let address = |host| Ipv4Addr::new(127, number as u8, net, host as u8 + 1);
         let addresses: Vec<_> = (0..size.hosts()).map(address).collect();
-        let proxy = |own: &Ipv4Addr| Proxy::start((*own, RELAY).into(), (*own, PEER).into());
+        let proxy =
+            |own: &Ipv4Addr| Proxy::start((*own, RELAY_PORT).into(), (*own, PEER_PORT).into());
         let mut folder = TempDir::new().unwrap();
         if std::env::var_os("SOAK_KEEP_LOGS").is_some() {
             folder.disable_cleanup(true);
@@ -87,42 +88,42 @@
             addresses,
             folder,
             processes: Mutex::new((0..size.hosts()).map(|_| None).collect()),
-            lives: (0..size.hosts()).map(|_| AtomicU32::new(0)).collect(),
+            start_counts: (0..size.hosts()).map(|_| AtomicU32::new(0)).collect(),
         };
         (0..size.hosts()).for_each(|host| fleet.write_settings(host));
         (0..size.hosts()).for_each(|host| fleet.spawn(host));
         fleet
     }
 
-    /// Open connections to any control host for which this holds fall silent for good;
-    /// new ones work. Returns how many they are.
-    pub fn silence(&self, concerned: impl Fn(&Open) -> bool) -> usize {
-        self.proxies.iter().map(|proxy| proxy.silence(&concerned)).sum()
+    /// Silences the selected open connections to all control hosts for good; new ones work.
+    /// Returns their number.
+    pub fn silence(&self, is_selected: impl Fn(&Open) -> bool) -> usize {
+        self.proxies.iter().map(|proxy| proxy.silence(&is_selected)).sum()
     }
 
-    /// Open connections to any control host for which this holds are reset.
-    pub fn reset(&self, concerned: impl Fn(&Open) -> bool) -> usize {
-        self.proxies.iter().map(|proxy| proxy.reset(&concerned)).sum()
+    /// Resets the selected open connections to all control hosts; returns their number.
+    pub fn reset(&self, is_selected: impl Fn(&Open) -> bool) -> usize {
+        self.proxies.iter().map(|proxy| proxy.reset(&is_selected)).sum()
     }
 
-    /// What is sent to and from one control host on connections waits, or goes on.
+    /// Holds back, or releases, all bytes sent on the connections of one control host.
     pub fn hold(&self, control: usize, is_held: bool) {
         self.proxies[control].hold(is_held);
     }
 
-    /// Where a control host answers operators and replicas.
+    /// Address at which a control host serves the platform, operators and replicas.
     pub fn control(&self, number: usize) -> SocketAddr {
-        (self.addresses[number], CONTROL).into()
+        (self.addresses[number], CONTROL_PORT).into()
     }
 
-    /// Where a router answers callers.
+    /// Address at which a router serves callers.
     pub fn front(&self, number: usize) -> SocketAddr {
-        (self.addresses[self.size.router(number)], FRONT).into()
+        (self.addresses[self.size.router(number)], FRONT_PORT).into()
     }
 
-    /// Counts the starts of a host's process.
-    pub fn life(&self, host: usize) -> u32 {
-        self.lives[host].load(Ordering::SeqCst)
+    /// Number of times that a host's process was started.
+    pub fn start_number(&self, host: usize) -> u32 {
+        self.start_counts[host].load(Ordering::SeqCst)
     }
 
     pub fn spawn(&self, host: usize) {
@@ -135,7 +136,7 @@
             .stderr(self.log(host))
             .spawn()
             .unwrap();
-        self.lives[host].fetch_add(1, Ordering::SeqCst);
+        self.start_counts[host].fetch_add(1, Ordering::SeqCst);
         self.processes.lock().unwrap()[host] = Some(child);
     }
 
@@ -144,7 +145,7 @@
         std::fs::File::options().create(true).append(true).open(path).unwrap().into()
     }
 
-    /// Keeps the logs, for a seed that failed.
+    /// Keeps the folder with the logs of a failed seed, and returns its path.
     pub fn keep_logs(&mut self) -> std::path::PathBuf {
         self.folder.disable_cleanup(true);
         self.folder.path().to_path_buf()
@@ -175,11 +176,11 @@
         self.signal(host, Signal::SIGCONT);
     }
 
-    /// Stops a process as planned and waits until it has ended.
+    /// Stops a process with SIGTERM and waits until it has ended.
     pub async fn stop(&self, host: usize) {
         self.signal(host, Signal::SIGTERM);
         while !self.has_ended(host) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -193,31 +194,32 @@
 
     fn write_settings(&self, host: usize) {
         let own = self.addresses[host];
-        let seeds = self.addresses[..SEEDS.min(self.size.controls)]
+        let seeds = self.addresses[..SEED_HOSTS.min(self.size.controls)]
             .iter()
-            .map(|a| format!("\"{a}:{CONTROL}\""));
+            .map(|a| format!("\"{a}:{CONTROL_PORT}\""));
         let seeds = seeds.collect::<Vec<_>>().join(", ");
         let hall = HALLS[host % HALLS.len()];
-        let advertised = if host < self.size.controls { RELAY } else { PEER };
+        let advertised = if host < self.size.controls { RELAY_PORT } else { PEER_PORT };
         let common = format!(
-            "host:\n  name: host-{host}\n  hall: {hall}\n  peer: \"{own}:{PEER}\"\n  \
+            "host:\n  name: host-{host}\n  hall: {hall}\n  peer: \"{own}:{PEER_PORT}\"\n  \
              advertise: \"{own}:{advertised}\"\n  seeds: [{seeds}]\n  \
-             seed_port: {RELAY}\n  heartbeats: control\noperator: \"{own}:{OPERATOR}\"\n"
+             seed_port: {RELAY_PORT}\n  heartbeats: control\noperator: \"{own}:{OPERATOR_PORT}\"\n"
         );
-        // As many may be lost as leave a majority.
+        // A majority must remain.
         let tolerated = (self.size.controls - 1) / 2;
         let data = self.folder.path().join(format!("data-{host}"));
-        let rest = match host < self.size.controls {
+        let role_settings = match host < self.size.controls {
             true => format!(
-                "platform: \"{own}:{CONTROL}\"\ndata: {}\nfound_with_seeds: true\n\
+                "platform: \"{own}:{CONTROL_PORT}\"\ndata: {}\nfound_with_seeds: true\n\
                  tolerated_losses: {tolerated}\nwait_for_disk: true\n",
                 data.display()
             ),
             false => format!(
-                "listen: \"{own}:{FRONT}\"\ngateway:\n  ready: \"{own}:{READY}\"\n  \
+                "listen: \"{own}:{FRONT_PORT}\"\ngateway:\n  ready: \"{own}:{READY_PORT}\"\n  \
                  stop_takes_ms: 100\n  stop_within_s: 4\n"
             ),
         };
-        std::fs::write(self.folder.path().join(format!("{host}.yaml")), common + &rest).unwrap();
+        std::fs::write(self.folder.path().join(format!("{host}.yaml")), common + &role_settings)
+            .unwrap();
     }
 }
--- a/tests/soak/notices.rs
+++ b/tests/soak/notices.rs
@@ -1,6 +1,6 @@
-//! A replica that says only in its answers that it leaves, and that asks for rest: its
-//! registrations go on saying that it is ready, as where the control host that it told is
-//! cut off.
+//! A replica that announces leaving, and requests rests, only in its answers: its
+//! registrations keep reporting that it is ready, as when the control host that was notified
+//! is cut off.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -9,22 +9,23 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::actors::{self, Stage};
-use crate::comes_about;
-use crate::history::{History, Told};
-use crate::registrations::{REGISTER_PAUSE, Said, epoch_ms, register};
+use crate::actors::{self, Context};
+use crate::eventually;
+use crate::history::{CallTimes, History};
+use crate::registrations::{REGISTER_INTERVAL, Registration, epoch_ms, register};
 use crate::replica::{Arrival, Replica};
 
-/// Milliseconds of a rest.
+/// Length of a rest, in milliseconds.
 const REST_MS: Range<u64> = 300..4_000;
-/// Registrations of one start before it leaves, and from then to the next start.
+/// Number of registrations of one start before the replica leaves.
 const READY_CALLS: Range<u64> = 2..6;
+/// Number of registrations from then to the next start.
 const LEAVING_CALLS: Range<u64> = 2..6;
 
-/// Registers a replica again and again; now and then it rests, leaves, and starts again.
-pub async fn speak_on(stage: Stage, replica: Replica, seed: u64) {
+/// Registers a replica repeatedly; at random it requests rests, leaves, and is restarted.
+pub async fn run_notices(context: Context, replica: Replica, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    while !stage.is_over() {
+    while !context.is_finished() {
         let born = epoch_ms();
         let ready = rng.random_range(READY_CALLS);
         let calls = ready + rng.random_range(LEAVING_CALLS);
@@ -34,11 +35,11 @@
             } else if rng.random_bool(0.5) {
                 replica.rest(Duration::from_millis(rng.random_range(REST_MS)));
             }
-            let said = Said { version: "v1", state: "ready", born, sequence };
-            // Unanswered, it is sent again at the next turn.
-            register(&stage, &mut rng, &replica, said).await;
-            tokio::time::sleep(REGISTER_PAUSE).await;
-            if stage.is_over() {
+            let registration = Registration { version: "v1", state: "ready", born, sequence };
+            // A registration without an answer is repeated in the next round.
+            register(&context, &mut rng, &replica, registration).await;
+            tokio::time::sleep(REGISTER_INTERVAL).await;
+            if context.is_finished() {
                 return;
             }
         }
@@ -46,21 +47,22 @@
     }
 }
 
-/// Whether the replica gets requests from every router after its last start.
-pub async fn is_used_again(stage: &Stage, replica: &Replica, seed: u64) -> bool {
+/// Restarts the replica, and returns whether it then gets requests from every router.
+pub async fn is_used_again(context: &Context, replica: &Replica, seed: u64) -> bool {
     replica.restart();
-    let said = Said { version: "v1", state: "ready", born: epoch_ms(), sequence: 1 };
+    let registration =
+        Registration { version: "v1", state: "ready", born: epoch_ms(), sequence: 1 };
     let mut rng = SmallRng::seed_from_u64(seed);
-    while !register(stage, &mut rng, replica, said).await {
-        tokio::time::sleep(REGISTER_PAUSE).await;
+    while !register(context, &mut rng, replica, registration).await {
+        tokio::time::sleep(REGISTER_INTERVAL).await;
     }
-    for router in 0..stage.fleet.size.routers {
+    for router in 0..context.fleet.size.routers {
         let is_reached = async || {
             let before = replica.arrivals().len();
-            actors::is_served(stage, router).await;
+            actors::is_served(context, router).await;
             replica.arrivals().len() > before
         };
-        if !comes_about(is_reached).await {
+        if !eventually(is_reached).await {
             return false;
         }
     }
@@ -68,31 +70,31 @@
 }
 
 impl History {
-    /// Once a router has passed on the answer by which it learnt that a replica leaves, or
-    /// has answered the request that was turned away with a request for rest, no request that
-    /// is asked of that life of its process later reaches that start of the replica, or does
-    /// so during that rest.
-    pub fn notices_passed_over(&self) -> Vec<String> {
+    /// Requests that a router sent to a replica in spite of a notice. Once a router has
+    /// answered a call whose answer from the replica announced leaving or requested a rest, no
+    /// later call to the same start of the router may reach the same start of the replica: ever
+    /// if it leaves, until the end of the rest otherwise.
+    pub fn ignored_notices(&self) -> Vec<String> {
         let calls =
-            self.calls.iter().filter_map(|call| Some((&call.id, (call.router, call.told?))));
-        let calls: BTreeMap<&String, (usize, Told)> = calls.collect();
-        let told = |arrival: &Arrival| calls.get(&arrival.id).copied();
-        let said = self.arrivals.iter().filter(|arrival| arrival.leaving || arrival.turned_away);
-        let mut broken = Vec::new();
-        for first in said {
-            let Some((router, told_first)) = told(first) else { continue };
+            self.calls.iter().filter_map(|call| Some((&call.id, (call.router, call.times?))));
+        let calls: BTreeMap<&String, (usize, CallTimes)> = calls.collect();
+        let times = |arrival: &Arrival| calls.get(&arrival.id).copied();
+        let notices = self.arrivals.iter().filter(|arrival| arrival.leaving || arrival.turned_away);
+        let mut violations = Vec::new();
+        for first in notices {
+            let Some((router, first_times)) = times(first) else { continue };
             let later = self.arrivals.iter().filter(|later| later.start == first.start);
             let later = later.filter(|later| {
-                told(later).is_some_and(|(asked, told_later)| {
+                times(later).is_some_and(|(asked, later_times)| {
                     asked == router
-                        && told_later.life == told_first.life
-                        && told_later.asked > told_first.answered
+                        && later_times.start_number == first_times.start_number
+                        && later_times.asked > first_times.answered
                 })
             });
-            let is_barred = |later: &&Arrival| {
+            let is_excluded = |later: &&Arrival| {
                 first.leaving || first.rests_until.is_some_and(|until| later.at < until)
             };
-            broken.extend(later.filter(is_barred).map(|later| {
+            violations.extend(later.filter(is_excluded).map(|later| {
                 let what = if first.leaving { "leaves" } else { "rests" };
                 format!(
                     "router {router} sent {} to a replica that {what} by {}",
@@ -100,6 +102,6 @@
                 )
             }));
         }
-        broken
+        violations
     }
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,5 +1,5 @@
-//! A relay before a host's peer port, which brings faults of the network about. The host
-//! advertises the relay's address, so that all that other hosts send comes through it.
+//! A relay in front of a host's peer port, which simulates network faults. The host advertises
+//! the relay's address, so that everything that other hosts send passes through it.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -15,24 +15,24 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-/// Largest datagram between hosts, in bytes.
-const DATAGRAM: usize = 4_096;
-/// How often a connection that is held up looks whether it may go on.
-const POLL: Duration = Duration::from_millis(10);
+/// Size of the buffers, in bytes; no datagram between hosts is larger.
+const MAX_DATAGRAM_BYTES: usize = 4_096;
+/// How often a held connection checks whether it was released.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// One connection through the relay.
 struct Link {
-    /// What it is for, as its opener said.
+    /// Purpose of the connection, from its opening message.
     open: Open,
-    /// What is sent is taken and lost, and neither end learns of it.
+    /// Bytes are read and dropped, and neither end is notified.
     is_silent: AtomicBool,
-    /// What is sent waits.
+    /// Bytes are held back.
     is_held: Arc<AtomicBool>,
-    /// Ends it with a reset.
+    /// Ends the connection with a reset.
     reset: CancellationToken,
 }
 
-/// A relay before one host; it ends when this is dropped.
+/// A relay in front of one host; dropping it ends the relay.
 pub struct Proxy {
     links: Arc<Mutex<Vec<Weak<Link>>>>,
     is_held: Arc<AtomicBool>,
@@ -40,7 +40,7 @@
 }
 
 impl Proxy {
-    /// Relays what comes to `listen`, by TCP and UDP, to `host`.
+    /// Relays TCP connections and UDP datagrams from `listen` to `host`.
     pub fn start(listen: SocketAddr, host: SocketAddr) -> Proxy {
         let links = Arc::new(Mutex::new(Vec::new()));
         let is_held = Arc::new(AtomicBool::new(false));
@@ -55,30 +55,29 @@
         Proxy { links, is_held, _tasks: tasks }
     }
 
-    /// Open connections for which this holds fall silent for good; new ones work. Returns
-    /// how many they are.
-    pub fn silence(&self, concerned: impl Fn(&Open) -> bool) -> usize {
-        let links = self.open_links(concerned);
+    /// Silences the selected open connections for good; new ones work. Returns their number.
+    pub fn silence(&self, is_selected: impl Fn(&Open) -> bool) -> usize {
+        let links = self.open_links(is_selected);
         links.iter().for_each(|link| link.is_silent.store(true, Ordering::SeqCst));
         links.len()
     }
 
-    /// Open connections for which this holds are reset.
-    pub fn reset(&self, concerned: impl Fn(&Open) -> bool) -> usize {
-        let links = self.open_links(concerned);
+    /// Resets the selected open connections; returns their number.
+    pub fn reset(&self, is_selected: impl Fn(&Open) -> bool) -> usize {
+        let links = self.open_links(is_selected);
         links.iter().for_each(|link| link.reset.cancel());
         links.len()
     }
 
-    /// What is sent on any connection waits, or goes on.
+    /// Holds back, or releases, all bytes sent on connections.
     pub fn hold(&self, is_held: bool) {
         self.is_held.store(is_held, Ordering::SeqCst);
     }
 
-    fn open_links(&self, concerned: impl Fn(&Open) -> bool) -> Vec<Arc<Link>> {
+    fn open_links(&self, is_selected: impl Fn(&Open) -> bool) -> Vec<Arc<Link>> {
         let mut links = self.links.lock().unwrap();
         links.retain(|link| link.strong_count() > 0);
-        links.iter().filter_map(Weak::upgrade).filter(|link| concerned(&link.open)).collect()
+        links.iter().filter_map(Weak::upgrade).filter(|link| is_selected(&link.open)).collect()
     }
 }
 
@@ -95,8 +94,8 @@
     }
 }
 
-/// Relays one connection; none where its opener says nothing that can be read or the
-/// host does not take it.
+/// Relays one connection; `None` if its opening message cannot be decoded or the host does
+/// not accept the connection.
 async fn relay(
     opener: TcpStream,
     host: SocketAddr,
@@ -104,20 +103,20 @@
     is_held: Arc<AtomicBool>,
 ) -> Option<()> {
     opener.set_nodelay(true).ok()?;
-    let (read, back) = opener.into_split();
+    let (read, to_opener) = opener.into_split();
     let mut reader = FrameReader::new(BufReader::new(read));
     let opening = reader.next_payload().await.ok()?;
     let open = decode_versioned(&opening).ok()?;
     let target = TcpStream::connect(host).await.ok()?;
     target.set_nodelay(true).ok()?;
-    let (answers, mut forth) = target.into_split();
-    write_payload(&mut forth, &opening).await.ok()?;
+    let (answers, mut to_host) = target.into_split();
+    write_payload(&mut to_host, &opening).await.ok()?;
     let (is_silent, reset) = (AtomicBool::new(false), CancellationToken::new());
     let link = Arc::new(Link { open, is_silent, is_held, reset });
     links.lock().unwrap().push(Arc::downgrade(&link));
     tokio::join!(
-        relay_bytes(&link, reader.into_inner(), forth),
-        relay_bytes(&link, BufReader::new(answers), back),
+        relay_bytes(&link, reader.into_inner(), to_host),
+        relay_bytes(&link, BufReader::new(answers), to_opener),
     );
     Some(())
 }
@@ -127,22 +126,22 @@
     tokio::select! {
         () = copy(link, from, &mut to) => {}
         () = link.reset.cancelled() => {
-            // The end of a process shows as a reset; so does this.
+            // Peers see a reset, as when a process is killed.
             let _ = to.as_ref().set_zero_linger();
         }
     }
 }
 
 async fn copy(link: &Link, mut from: BufReader<OwnedReadHalf>, to: &mut OwnedWriteHalf) {
-    let mut buffer = [0; DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let size = from.read(&mut buffer).await.unwrap_or(0);
         while link.is_held.load(Ordering::SeqCst) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         if link.is_silent.load(Ordering::SeqCst) {
             if size == 0 {
-                // Its end does not get through either.
+                // The end of the connection is not passed on either.
                 return std::future::pending().await;
             }
             continue;
@@ -153,11 +152,11 @@
     }
 }
 
-/// Relays datagrams to the host, and its answers back to who sent them.
+/// Relays datagrams to the host, and its answers back to their senders.
 async fn relay_datagrams(outside: Arc<UdpSocket>, host: SocketAddr) {
     let mut inside: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     let mut answers = JoinSet::new();
-    let mut buffer = [0; DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((size, from)) = outside.recv_from(&mut buffer).await else { continue };
         let socket = match inside.entry(from) {
@@ -174,7 +173,7 @@
 }
 
 async fn relay_answers(inside: Arc<UdpSocket>, outside: Arc<UdpSocket>, to: SocketAddr) {
-    let mut buffer = [0; DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         if let Ok(size) = inside.recv(&mut buffer).await {
             let _ = outside.send_to(&buffer[..size], to).await;
--- a/tests/soak/registrations.rs
+++ b/tests/soak/registrations.rs
@@ -1,26 +1,26 @@
-//! What replicas say of themselves while faults come.
+//! Registrations of replicas while faults are injected.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::actors::{Stage, ask_control};
-use crate::comes_about;
+use crate::actors::{Context, call_control};
+use crate::eventually;
 use crate::replica::Replica;
 
-pub const REGISTER_PAUSE: Duration = Duration::from_millis(400);
-/// Calls of a replica between two of its starts.
+pub const REGISTER_INTERVAL: Duration = Duration::from_millis(400);
+/// Number of registrations of a replica per start.
 const CALLS_OF_A_START: std::ops::Range<u64> = 4..20;
-/// Calls that each router must serve while a replica gets none: chosen by chance, one of four
-/// replicas is left out so often once in three hundred times.
-const SERVED: usize = 20;
-/// Time between two looks at what was served.
-const LOOK: Duration = Duration::from_millis(100);
+/// Calls that each router must serve while a replica gets none. With random choice, one of four
+/// replicas is left out that often by chance once in three hundred times.
+const MIN_SERVED: usize = 20;
+/// Time between two checks of the served calls.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One call of a replica.
+/// Contents of one registration call.
 #[derive(Clone, Copy, Debug)]
-pub struct Said<'a> {
+pub struct Registration<'a> {
     pub version: &'a str,
     pub state: &'a str,
     pub born: u64,
@@ -32,107 +32,108 @@
     since.unwrap().as_millis() as u64
 }
 
-/// Calls any control host; whether the call was acknowledged.
+/// Registers a replica of `app` at a random control host; returns whether it acknowledged.
 pub async fn register(
-    stage: &Stage,
+    context: &Context,
     rng: &mut SmallRng,
     replica: &Replica,
-    said: Said<'_>,
+    registration: Registration<'_>,
 ) -> bool {
-    register_for("app", stage, rng, replica, said).await
+    register_for("app", context, rng, replica, registration).await
 }
 
-/// The same for a replica of any service.
+/// Like [`register`], for a replica of any service.
 pub async fn register_for(
     service: &str,
-    stage: &Stage,
+    context: &Context,
     rng: &mut SmallRng,
     replica: &Replica,
-    said: Said<'_>,
+    registration: Registration<'_>,
 ) -> bool {
-    let Said { version, state, born, sequence } = said;
+    let Registration { version, state, born, sequence } = registration;
     let body = format!(
         r#"{{"service":"{service}","address":"{}","zone":"a","version":"{version}","slots":6,"state":"{state}","warmupLeftMs":0,"born":{born},"callSeq":{sequence}}}"#,
         replica.address
     );
     let path = format!("/replicas/{}", replica.id);
-    let control = stage.fleet.control(rng.random_range(0..stage.fleet.size.controls));
-    let answer = ask_control(control, "PUT", &path, &body).await;
+    let control = context.fleet.control(rng.random_range(0..context.fleet.size.controls));
+    let answer = call_control(control, "PUT", &path, &body).await;
     answer.is_some_and(|answer| answer.status == 200)
 }
 
-/// Registers a replica again and again, as replicas do, at any control host. Now and then
-/// it starts again under its id, and counts from one.
-pub async fn register_on(stage: Stage, replica: Replica, seed: u64) {
+/// Registers a replica periodically at random control hosts, as real replicas do. At random it
+/// restarts under the same id, with sequence numbers from 1.
+pub async fn run_registrations(context: Context, replica: Replica, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    while !stage.is_over() {
+    while !context.is_finished() {
         let born = epoch_ms();
         for sequence in 1..=rng.random_range(CALLS_OF_A_START) {
-            let said = Said { version: "v1", state: "ready", born, sequence };
-            // Unanswered, it is sent again at the next turn.
-            register(&stage, &mut rng, &replica, said).await;
-            tokio::time::sleep(REGISTER_PAUSE).await;
-            if stage.is_over() {
+            let registration = Registration { version: "v1", state: "ready", born, sequence };
+            // A registration without an answer is repeated in the next round.
+            register(&context, &mut rng, &replica, registration).await;
+            tokio::time::sleep(REGISTER_INTERVAL).await;
+            if context.is_finished() {
                 return;
             }
         }
     }
 }
 
-/// Says that a replica leaves, until a control host acknowledges it.
-pub async fn say_draining(stage: &Stage, rng: &mut SmallRng, replica: &Replica) {
+/// Registers a replica as draining until a control host acknowledges it.
+pub async fn register_draining(context: &Context, rng: &mut SmallRng, replica: &Replica) {
     let born = epoch_ms();
     for sequence in 1.. {
-        let said = Said { version: "v1", state: "draining", born, sequence };
-        if register(stage, rng, replica, said).await {
+        let registration = Registration { version: "v1", state: "draining", born, sequence };
+        if register(context, rng, replica, registration).await {
             return;
         }
-        tokio::time::sleep(REGISTER_PAUSE).await;
+        tokio::time::sleep(REGISTER_INTERVAL).await;
     }
 }
 
-/// A replica comes, leaves, and comes again: each time it says that it leaves, and goes on
-/// saying so until no router sends it anything more.
-pub async fn come_and_leave_on(stage: Stage, replica: Replica, seed: u64) {
+/// Registers a replica as ready and then as draining, repeatedly. Each time it keeps
+/// registering as draining until no router sends it requests any more.
+pub async fn run_leaving_replica(context: Context, replica: Replica, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    while !stage.is_over() {
+    while !context.is_finished() {
         let born = epoch_ms();
         let ready = rng.random_range(CALLS_OF_A_START);
         for sequence in 1..=ready {
-            let said = Said { version: "v1", state: "ready", born, sequence };
-            register(&stage, &mut rng, &replica, said).await;
-            tokio::time::sleep(REGISTER_PAUSE).await;
-            if stage.is_over() {
+            let registration = Registration { version: "v1", state: "ready", born, sequence };
+            register(&context, &mut rng, &replica, registration).await;
+            tokio::time::sleep(REGISTER_INTERVAL).await;
+            if context.is_finished() {
                 return;
             }
         }
         let leaving = async {
             for sequence in ready + 1.. {
-                let said = Said { version: "v1", state: "draining", born, sequence };
-                register(&stage, &mut rng, &replica, said).await;
-                tokio::time::sleep(REGISTER_PAUSE).await;
+                let registration =
+                    Registration { version: "v1", state: "draining", born, sequence };
+                register(&context, &mut rng, &replica, registration).await;
+                tokio::time::sleep(REGISTER_INTERVAL).await;
             }
         };
-        let passed_by = tokio::select! {
+        let is_unused = tokio::select! {
             () = leaving => false,
-            // Nobody calls any more.
-            () = stage.over.cancelled() => return,
-            passed_by = comes_about(|| is_passed_by(&stage, &replica)) => passed_by,
+            // The callers have stopped, so nothing can be concluded.
+            () = context.finished.cancelled() => return,
+            is_unused = eventually(|| gets_no_requests(&context, &replica)) => is_unused,
         };
-        stage.note(|h| h.leaves.push(passed_by));
+        context.record(|h| h.leave_outcomes.push(is_unused));
     }
 }
 
-/// Whether a replica gets nothing while every router serves.
-async fn is_passed_by(stage: &Stage, replica: &Replica) -> bool {
+/// Whether a replica gets no requests while every router serves [`MIN_SERVED`] calls.
+async fn gets_no_requests(context: &Context, replica: &Replica) -> bool {
     let before = replica.seen().len();
-    let first = stage.history.lock().unwrap().calls.len();
-    let routers = stage.fleet.size.routers;
-    while stage.history.lock().unwrap().served_by_each(first, routers) < SERVED {
+    let first = context.history.lock().unwrap().calls.len();
+    let routers = context.fleet.size.routers;
+    while context.history.lock().unwrap().min_served(first, routers) < MIN_SERVED {
         if replica.seen().len() > before {
             return false;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     replica.seen().len() == before
 }
--- a/tests/soak/silence.rs
+++ b/tests/soak/silence.rs
@@ -1,20 +1,17 @@
-//! Connections that fall silent, with the real programs.
+//! Tests of the real programs with connections that fall silent without a reset.
 //!
-//! What users saw: routes of an acknowledged configuration were answered 404 by routers
-//! of every data hall, for good, endpoints that had said that they leave still got
-//! requests, and customers were served unequally. Routers said that they followed all
-//! control hosts, at the first routing version.
+//! The failure: connections between hosts dropped all bytes while datagrams and new connections
+//! worked. Routers of every data hall then answered 404 for routes of an acknowledged
+//! configuration for good, leaving endpoints still got requests, customers were served
+//! unequally, and routers reported that they followed all control hosts, at the first routing
+//! version.
 //!
-//! Order of events: the fleet starts and serves; connections between hosts fall silent,
-//! without a reset, while datagrams and new connections work; the configuration changes
-//! and an endpoint leaves; no router learns of either.
-//!
-//! Cause: nobody who only reads on a connection, or only writes, finds out that it is
-//! dead, and what ends a feed is the end of its connection, a new start of its host, or a
-//! silence that spans a suspicion; datagrams go on, so nobody is suspected. Evidence: with
-//! the connections through a relay that takes all and passes on nothing, a router's
-//! refusals name as many followed control hosts as before, the version before as the
-//! newest announced, and a growing time since any was heard: 59,971 ms at the end.
+//! The cause: a host that only reads or only writes on a connection does not detect that it is
+//! dead. A feed ended only with its connection, a restart of its host, or a silence during which
+//! the host was suspected; datagrams still arrived, so no host was suspected. With a relay that
+//! dropped everything, a router's refusals still named all followed control hosts and the
+//! previous version as the newest announced, while the time since the last message grew to
+//! 59,971 ms.
 
 use std::sync::{Arc, Mutex};
 
@@ -23,111 +20,118 @@
 use rand::rngs::SmallRng;
 use tokio_util::sync::CancellationToken;
 
-use crate::actors::{self, Stage};
+use crate::actors::{self, Context};
 use crate::fleet::{Fleet, Size};
 use crate::registrations;
 use crate::replica::{Behaviour, Replica};
-use crate::{comes_about, is_in_force, serves};
+use crate::{eventually, is_in_force, serves};
 
 const SIZE: Size = Size { controls: 3, routers: 2 };
-/// Requests to each router that must all pass an endpoint by which has left.
-const REQUESTS: usize = 20;
+/// Requests to each router, none of which may reach an endpoint that has left.
+const REQUESTS_PER_ROUTER: usize = 20;
 
-/// A fleet that serves version 1 with two replicas that go on registering.
-struct Serving {
-    stage: Stage,
+/// A fleet that serves version 1 with two replicas that register periodically.
+struct ServingFleet {
+    context: Context,
     rng: SmallRng,
     replicas: [Replica; 2],
 }
 
-impl Serving {
-    async fn start() -> Serving {
+impl ServingFleet {
+    async fn start() -> ServingFleet {
         let fleet = Arc::new(Fleet::start(SIZE));
-        let stage =
-            Stage { fleet, history: Arc::new(Mutex::default()), over: CancellationToken::new() };
+        let context = Context {
+            fleet,
+            history: Arc::new(Mutex::default()),
+            finished: CancellationToken::new(),
+        };
         let replicas = [
             Replica::start("i-1", Behaviour::Answer).await,
             Replica::start("i-2", Behaviour::Answer).await,
         ];
         for (seed, replica) in replicas.iter().enumerate() {
-            tokio::spawn(registrations::register_on(stage.clone(), replica.clone(), seed as u64));
+            tokio::spawn(registrations::run_registrations(
+                context.clone(),
+                replica.clone(),
+                seed as u64,
+            ));
         }
-        let mut serving = Serving { stage, rng: SmallRng::seed_from_u64(1), replicas };
+        let mut serving = ServingFleet { context, rng: SmallRng::seed_from_u64(1), replicas };
         serving.change_to(1).await;
-        assert!(comes_about(|| serves(&serving.stage)).await, "the fleet does not begin to serve");
-        let all = comes_about(|| serving.every_replica_runs()).await;
-        assert!(all, "a replica is not used");
+        assert!(eventually(|| serves(&serving.context)).await, "the fleet does not start serving");
+        let all = eventually(|| serving.every_replica_runs()).await;
+        assert!(all, "a replica gets no requests");
         serving
     }
 
-    /// Whether each replica has run a request. One may register later than the other, or,
-    /// where it has stopped registering by then, not at all.
+    /// Whether each replica has run a request. One may register later than the other, or never
+    /// if it stopped registering before.
     async fn every_replica_runs(&self) -> bool {
-        actors::is_served(&self.stage, 0).await;
+        actors::is_served(&self.context, 0).await;
         self.replicas.iter().all(|replica| !replica.seen().is_empty())
     }
 
     /// Sends a version until it is acknowledged.
     async fn change_to(&mut self, version: u64) {
         let mut rng = SmallRng::seed_from_u64(version);
-        let change = actors::change(&self.stage, &mut rng, version);
-        let taken = tokio::time::timeout(crate::NEVER, change).await;
-        assert_eq!(taken, Ok(true), "version {version} is not acknowledged");
+        let apply = actors::apply_version(&self.context, &mut rng, version);
+        let acknowledged = tokio::time::timeout(crate::WAIT_TIMEOUT, apply).await;
+        assert_eq!(acknowledged, Ok(true), "version {version} is not acknowledged");
     }
 
-    /// Whether every router serves and none sends anything to a replica any more.
-    async fn is_passed_by(&self, replica: &Replica) -> bool {
+    /// Whether every router serves and none sends requests to a replica any more.
+    async fn gets_no_requests(&self, replica: &Replica) -> bool {
         let before = replica.seen().len();
         let mut all_served = true;
-        for request in 0..REQUESTS * SIZE.routers {
-            all_served &= actors::is_served(&self.stage, request % SIZE.routers).await;
+        for request in 0..REQUESTS_PER_ROUTER * SIZE.routers {
+            all_served &= actors::is_served(&self.context, request % SIZE.routers).await;
         }
         all_served && replica.seen().len() == before
     }
 }
 
-impl Drop for Serving {
+impl Drop for ServingFleet {
     fn drop(&mut self) {
-        self.stage.over.cancel();
+        self.context.finished.cancel();
     }
 }
 
-fn of_router(open: &Open) -> bool {
+fn is_opened_by_router(open: &Open) -> bool {
     matches!(open, Open::Feed { .. } | Open::Place { .. } | Open::Claims { .. })
 }
 
-fn between_control_hosts(open: &Open) -> bool {
+fn is_between_control_hosts(open: &Open) -> bool {
     matches!(open, Open::Agree { .. })
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn routers_follow_again_after_their_connections_fell_silent() {
-    let mut serving = Serving::start().await;
-    let silent = serving.stage.fleet.silence(of_router);
-    assert!(silent >= SIZE.controls * SIZE.routers, "only {silent} connections were open");
+async fn routers_receive_updates_after_their_connections_fell_silent() {
+    let mut serving = ServingFleet::start().await;
+    let silenced = serving.context.fleet.silence(is_opened_by_router);
+    assert!(silenced >= SIZE.controls * SIZE.routers, "only {silenced} connections were open");
     serving.change_to(2).await;
-    assert!(comes_about(|| is_in_force(&serving.stage)).await, "version 2 is not in force");
+    assert!(eventually(|| is_in_force(&serving.context)).await, "version 2 is not in force");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_leaves_gets_no_more_after_connections_fell_silent() {
-    let mut serving = Serving::start().await;
-    serving.stage.fleet.silence(of_router);
+async fn a_leaving_endpoint_gets_no_requests_after_connections_fell_silent() {
+    let mut serving = ServingFleet::start().await;
+    serving.context.fleet.silence(is_opened_by_router);
     let leaving = serving.replicas[0].clone();
-    serving.stage.over.cancel();
-    registrations::say_draining(&serving.stage, &mut serving.rng, &leaving).await;
-    let passed_by = comes_about(|| serving.is_passed_by(&leaving)).await;
-    assert!(passed_by, "it said that it leaves, and still gets requests");
+    serving.context.finished.cancel();
+    registrations::register_draining(&serving.context, &mut serving.rng, &leaving).await;
+    let is_unused = eventually(|| serving.gets_no_requests(&leaving)).await;
+    assert!(is_unused, "the replica registered as leaving and still gets requests");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_are_accepted_after_control_hosts_connections_fell_silent() {
-    let mut serving = Serving::start().await;
-    // A new leader speaks on connections of its own, so the first time does no harm.
+async fn changes_are_accepted_after_connections_of_control_hosts_fell_silent() {
+    let mut serving = ServingFleet::start().await;
+    // A new leader opens its own connections, so the first silence alone does no harm.
     for version in 2..6 {
-        let silent = serving.stage.fleet.silence(between_control_hosts);
-        assert!(silent > 0, "there are no connections");
+        let silenced = serving.context.fleet.silence(is_between_control_hosts);
+        assert!(silenced > 0, "no connections were open");
         serving.change_to(version).await;
     }
-    assert!(comes_about(|| is_in_force(&serving.stage)).await, "version 5 is not in force");
+    assert!(eventually(|| is_in_force(&serving.context)).await, "version 5 is not in force");
 }
