--- a/tests/crashes/day.rs
+++ b/tests/crashes/day.rs
@@ -1,4 +1,4 @@
-//! A generated day, in steps of 10 ms.
+//! Simulates a fleet for 60 s, in steps of 10 ms.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,77 +8,80 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::ways::{Judge, Way};
+use crate::ways::{Detector, Strategy};
 
 const STEP_MS: u64 = 10;
 const LENGTH_MS: u64 = 60_000;
 pub const ROUTERS: usize = 8;
-/// How long an endpoint that ended is away.
-const AWAY_MS: u64 = 3_000;
-/// How long the fleet may take to learn of a third crash.
-const LEARN_MS: u64 = 3_000;
-/// How late what an endpoint sent may be read.
-const READ_LATE_MS: u64 = 250;
-/// Runs that a router makes of one arrival, and arrivals that a caller makes of one request.
-const RUNS: u32 = 2;
-const ARRIVALS: u32 = 2;
+/// How long an endpoint that ended is down.
+const DOWN_MS: u64 = 3_000;
+/// How long a third crash may take to be known to the fleet.
+const PROPAGATION_MS: u64 = 3_000;
+/// How long a router may take to read what an endpoint has sent.
+const MAX_READ_DELAY_MS: u64 = 250;
+/// How often a router runs one arrival at most.
+const MAX_RUNS: u32 = 2;
+/// How often a caller sends one request at most.
+const MAX_ARRIVALS: u32 = 2;
 
-/// What happens besides requests that crash endpoints.
+/// What disturbs the fleet besides requests that crash endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Disturbance {
     /// Nothing.
     Calm,
-    /// Endpoints die one by one of something else.
+    /// Endpoints end one by one for other reasons.
     OtherDeaths,
-    /// A third of all endpoints dies at one moment, several times.
+    /// A third of all endpoints ends at the same moment, several times.
     Outages,
     /// Routers lose half of their connections, several times a second.
     Resets,
-    /// Five different requests crash endpoints by turns.
+    /// Five different requests crash endpoints.
     ManyCulprits,
-    /// Callers send the same few requests.
+    /// Callers send the same few requests, and a third of all endpoints ends now and then.
     SameRequests,
 }
 
-impl Trouble {
-    pub const ALL: [Trouble; 6] = [
-        Trouble::Calm,
-        Trouble::OtherDeaths,
-        Trouble::Outages,
-        Trouble::Resets,
-        Trouble::ManyCulprits,
-        Trouble::SameRequests,
+impl Disturbance {
+    pub const ALL: [Disturbance; 6] = [
+        Disturbance::Calm,
+        Disturbance::OtherDeaths,
+        Disturbance::Outages,
+        Disturbance::Resets,
+        Disturbance::ManyCulprits,
+        Disturbance::SameRequests,
     ];
 }
 
-/// What came of days.
+/// Counts of one or several simulations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    pub innocent: usize,
-    pub refused_by_mistake: usize,
+    /// Arrivals of harmless requests, and how many of them were refused.
+    pub harmless: usize,
+    pub wrongly_refused: usize,
+    /// Endpoints ended by culprits.
     pub ended: usize,
-    /// Sends of one culprit later than the fleet had to learn of its third crash.
-    pub most_after_learning: usize,
+    /// Most sends of one culprit later than [`PROPAGATION_MS`] after its third crash.
+    pub max_late_sends: usize,
 }
 
 impl Outcome {
-    pub fn and(self, other: Outcome) -> Outcome {
+    pub fn merge(self, other: Outcome) -> Outcome {
         Outcome {
-            innocent: self.innocent + other.innocent,
-            refused_by_mistake: self.refused_by_mistake + other.refused_by_mistake,
+            harmless: self.harmless + other.harmless,
+            wrongly_refused: self.wrongly_refused + other.wrongly_refused,
             ended: self.ended + other.ended,
-            most_after_learning: self.most_after_learning.max(other.most_after_learning),
+            max_late_sends: self.max_late_sends.max(other.max_late_sends),
         }
     }
 }
 
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Outcome { innocent, refused_by_mistake, ended, most_after_learning } = self;
+        let Outcome { harmless, wrongly_refused, ended, max_late_sends } = self;
         write!(
             f,
-            "{ended} endpoints ended by culprits, at most {most_after_learning} sends of one after \
-             learning; {refused_by_mistake} of {innocent} innocent arrivals refused"
+            "{ended} endpoints ended by culprits, at most {max_late_sends} sends of one after \
+             detection was due; {wrongly_refused} of {harmless} harmless arrivals refused"
         )
     }
 }
@@ -99,75 +102,88 @@
     starts: u64,
     up_at: u64,
     runs: Vec<Run>,
-    /// Routers that lost something at this start though it lives, and when.
-    doubted_by: Vec<(usize, u64)>,
+    /// Routers that lost requests at this start though it still runs, and when.
+    unconfirmed_losses: Vec<(usize, u64)>,
 }
 
-pub struct Day {
+pub struct Simulation {
     rng: SmallRng,
-    trouble: Trouble,
-    judge: Judge,
+    disturbance: Disturbance,
+    detector: Detector,
     endpoints: Vec<Endpoint>,
     crashes: BTreeMap<usize, Vec<u64>>,
-    next: u64,
+    next_request: u64,
     outcome: Outcome,
 }
 
-impl Day {
-    pub fn new(seed: u64, endpoints: usize, trouble: Trouble, way: Way) -> Day {
+impl Simulation {
+    pub fn new(
+        seed: u64,
+        endpoints: usize,
+        disturbance: Disturbance,
+        strategy: Strategy,
+    ) -> Simulation {
         let endpoints = vec![Endpoint::default(); endpoints];
         let rng = SmallRng::seed_from_u64(seed);
-        let (judge, outcome) = (Judge::new(way), Outcome::default());
-        Day { rng, trouble, judge, endpoints, crashes: BTreeMap::new(), next: 0, outcome }
+        let (detector, outcome) = (Detector::new(strategy), Outcome::default());
+        Simulation {
+            rng,
+            disturbance,
+            detector,
+            endpoints,
+            crashes: BTreeMap::new(),
+            next_request: 0,
+            outcome,
+        }
     }
 
-    pub fn play(mut self) -> Outcome {
+    pub fn run(mut self) -> Outcome {
         for now in (0..LENGTH_MS).step_by(STEP_MS as usize) {
-            self.end_runs(now);
-            self.arrive(now);
-            self.trouble(now);
-            self.judge.decide(now);
+            self.complete_runs(now);
+            self.generate_arrivals(now);
+            self.disturb(now);
+            self.detector.review(now);
         }
         self.outcome
     }
 
-    fn chance(&mut self, a_second: f64) -> bool {
-        self.rng.random_bool((a_second * STEP_MS as f64 / 1_000.0).min(1.0))
+    fn occurs(&mut self, per_second: f64) -> bool {
+        self.rng.random_bool((per_second * STEP_MS as f64 / 1_000.0).min(1.0))
     }
 
-    fn arrive(&mut self, now: u64) {
-        // Eight a second and endpoint, of one second each.
+    fn generate_arrivals(&mut self, now: u64) {
+        // Eight requests per second and endpoint, of one second each.
         for _ in 0..self.endpoints.len() {
-            if self.chance(8.0) {
-                self.next += 1;
-                let number = match self.trouble {
-                    Trouble::SameRequests => self.rng.random_range(0..20),
-                    _ => self.next,
+            if self.occurs(8.0) {
+                self.next_request += 1;
+                let number = match self.disturbance {
+                    Disturbance::SameRequests => self.rng.random_range(0..20),
+                    _ => self.next_request,
                 };
                 let fingerprint = Fingerprint::of("c", &["/"], &number.to_be_bytes());
-                self.arrival(now, fingerprint, None, 1);
+                self.add_arrival(now, fingerprint, None, 1);
             }
         }
-        let culprits = if self.trouble == Trouble::ManyCulprits { 5 } else { 1 };
+        let culprits = if self.disturbance == Disturbance::ManyCulprits { 5 } else { 1 };
         for culprit in 0..culprits {
-            if now >= 5_000 && self.chance(1.5) {
+            if now >= 5_000 && self.occurs(1.5) {
                 let fingerprint = Fingerprint::of("c", &["/culprit"], &[culprit as u8]);
-                self.arrival(now, fingerprint, Some(culprit), 1);
+                self.add_arrival(now, fingerprint, Some(culprit), 1);
             }
         }
     }
 
-    fn arrival(&mut self, now: u64, of: Fingerprint, culprit: Option<usize>, arrivals: u32) {
+    fn add_arrival(&mut self, now: u64, of: Fingerprint, culprit: Option<usize>, arrivals: u32) {
         let router = self.rng.random_range(0..ROUTERS);
         let (began, ends, runs) = (now, now, 0);
         let run = Run { fingerprint: of, culprit, router, began, ends, runs, arrivals };
-        self.outcome.innocent += usize::from(culprit.is_none());
+        self.outcome.harmless += usize::from(culprit.is_none());
         self.send(now, run);
     }
 
     fn send(&mut self, now: u64, mut run: Run) {
-        if self.judge.refuses(run.router, &run.fingerprint) {
-            self.outcome.refused_by_mistake += usize::from(run.culprit.is_none());
+        if self.detector.refuses(run.router, &run.fingerprint) {
+            self.outcome.wrongly_refused += usize::from(run.culprit.is_none());
             return;
         }
         let up: Vec<_> =
@@ -175,134 +191,144 @@
         if up.is_empty() {
             return;
         }
-        let at = up[self.rng.random_range(0..up.len())];
+        let index = up[self.rng.random_range(0..up.len())];
         if let Some(culprit) = run.culprit {
-            self.note_culprit(now, culprit);
+            self.record_culprit_send(now, culprit);
         }
         run.runs += 1;
         run.began = now;
-        let takes = if run.culprit.is_some() { 50..300 } else { 100..2_000 };
-        run.ends = now + self.rng.random_range(takes);
-        let start = self.start(at);
-        let endpoint = &mut self.endpoints[at];
-        if let Some(doubt) = endpoint.doubted_by.iter().position(|(by, _)| *by == run.router) {
-            endpoint.doubted_by.swap_remove(doubt);
-            self.judge.answered(now, run.router, &start);
+        let duration_ms = if run.culprit.is_some() { 50..300 } else { 100..2_000 };
+        run.ends = now + self.rng.random_range(duration_ms);
+        let start = self.start(index);
+        let endpoint = &mut self.endpoints[index];
+        if let Some(loss) = endpoint.unconfirmed_losses.iter().position(|(by, _)| *by == run.router)
+        {
+            endpoint.unconfirmed_losses.swap_remove(loss);
+            self.detector.record_answer(now, run.router, &start);
         }
-        self.endpoints[at].runs.push(run);
+        self.endpoints[index].runs.push(run);
     }
 
-    fn note_culprit(&mut self, now: u64, culprit: usize) {
+    fn record_culprit_send(&mut self, now: u64, culprit: usize) {
         let third = self.crashes.get(&culprit).and_then(|crashes| crashes.get(2));
-        if third.is_some_and(|third| now > third + LEARN_MS) {
+        if third.is_some_and(|third| now > third + PROPAGATION_MS) {
             let crashes = self.crashes[&culprit].iter();
-            let later = crashes.filter(|at| **at > self.crashes[&culprit][2] + LEARN_MS).count();
-            self.outcome.most_after_learning = self.outcome.most_after_learning.max(later + 1);
+            let later = crashes
+                .filter(|crashed_at| **crashed_at > self.crashes[&culprit][2] + PROPAGATION_MS)
+                .count();
+            self.outcome.max_late_sends = self.outcome.max_late_sends.max(later + 1);
         }
     }
 
-    fn start(&self, at: usize) -> EndpointStart {
-        EndpointStart { id: format!("e-{at}"), started_at_ms: self.endpoints[at].starts }
+    fn start(&self, index: usize) -> EndpointStart {
+        EndpointStart { id: format!("e-{index}"), started_at_ms: self.endpoints[index].starts }
     }
 
-    fn end_runs(&mut self, now: u64) {
-        for at in 0..self.endpoints.len() {
-            self.hear(now, at);
+    fn complete_runs(&mut self, now: u64) {
+        for index in 0..self.endpoints.len() {
+            self.deliver_answers(now, index);
             let (ended, left): (Vec<_>, Vec<_>) =
-                self.endpoints[at].runs.drain(..).partition(|run| run.ends <= now);
-            self.endpoints[at].runs = left;
+                self.endpoints[index].runs.drain(..).partition(|run| run.ends <= now);
+            self.endpoints[index].runs = left;
             let culprits: Vec<_> = ended.iter().filter_map(|run| run.culprit).collect();
             let (crashers, served): (Vec<_>, Vec<_>) =
                 ended.into_iter().partition(|run| run.culprit.is_some());
             for run in served {
-                self.judge.served(now, run.router, &run.fingerprint);
+                self.detector.record_served(now, run.router, &run.fingerprint);
             }
             if !culprits.is_empty() {
                 for culprit in culprits {
                     self.crashes.entry(culprit).or_default().push(now);
                 }
-                self.endpoints[at].runs.extend(crashers);
+                self.endpoints[index].runs.extend(crashers);
                 self.outcome.ended += 1;
-                self.die(now, at);
+                self.end_endpoint(now, index);
             }
         }
     }
 
-    /// Routers that lost something at an endpoint hear the answers that go on there.
-    fn hear(&mut self, now: u64, at: usize) {
-        let start = self.start(at);
-        let endpoint = &mut self.endpoints[at];
-        let Endpoint { runs, doubted_by, .. } = endpoint;
-        let hears = |(by, since): &(usize, u64)| {
-            now >= since + READ_LATE_MS && runs.iter().any(|run| run.router == *by)
+    /// Routers that lost requests at an endpoint read the answers to their other requests there.
+    fn deliver_answers(&mut self, now: u64, index: usize) {
+        let start = self.start(index);
+        let endpoint = &mut self.endpoints[index];
+        let Endpoint { runs, unconfirmed_losses, .. } = endpoint;
+        let is_answered = |(by, since): &(usize, u64)| {
+            now >= since + MAX_READ_DELAY_MS && runs.iter().any(|run| run.router == *by)
         };
-        let hearing: Vec<_> = doubted_by.extract_if(.., |doubt| hears(doubt)).collect();
-        for (router, _) in hearing {
-            self.judge.answered(now, router, &start);
+        let answered: Vec<_> =
+            unconfirmed_losses.extract_if(.., |loss| is_answered(loss)).collect();
+        for (router, _) in answered {
+            self.detector.record_answer(now, router, &start);
         }
     }
 
-    /// An endpoint ends, with all that runs there.
-    fn die(&mut self, now: u64, at: usize) {
-        let start = self.start(at);
-        let lost = std::mem::take(&mut self.endpoints[at].runs);
-        self.endpoints[at].starts += 1;
-        self.endpoints[at].up_at = now + AWAY_MS;
-        self.endpoints[at].doubted_by.clear();
-        self.lose(now, &start, lost);
+    /// Ends an endpoint with all its running requests.
+    fn end_endpoint(&mut self, now: u64, index: usize) {
+        let start = self.start(index);
+        let lost = std::mem::take(&mut self.endpoints[index].runs);
+        self.endpoints[index].starts += 1;
+        self.endpoints[index].up_at = now + DOWN_MS;
+        self.endpoints[index].unconfirmed_losses.clear();
+        self.fail_runs(now, &start, lost);
     }
 
-    fn lose(&mut self, now: u64, start: &EndpointStart, lost: Vec<Run>) {
+    fn fail_runs(&mut self, now: u64, start: &EndpointStart, lost: Vec<Run>) {
         for run in &lost {
-            self.judge.lost(now, run.router, start, &run.fingerprint, (now - run.began) as u32);
+            self.detector.record_loss(
+                now,
+                run.router,
+                start,
+                &run.fingerprint,
+                (now - run.began) as u32,
+            );
         }
         for run in lost {
-            if run.runs < RUNS {
+            if run.runs < MAX_RUNS {
                 self.send(now, run);
-            } else if run.arrivals < ARRIVALS {
-                self.arrival(now, run.fingerprint, run.culprit, run.arrivals + 1);
+            } else if run.arrivals < MAX_ARRIVALS {
+                self.add_arrival(now, run.fingerprint, run.culprit, run.arrivals + 1);
             }
         }
     }
 
-    fn trouble(&mut self, now: u64) {
-        let one_dies = self.trouble == Trouble::OtherDeaths && self.chance(1.0);
-        match self.trouble {
-            Trouble::OtherDeaths if one_dies => {
-                let at = self.rng.random_range(0..self.endpoints.len());
-                self.die(now, at);
+    fn disturb(&mut self, now: u64) {
+        let one_ends = self.disturbance == Disturbance::OtherDeaths && self.occurs(1.0);
+        match self.disturbance {
+            Disturbance::OtherDeaths if one_ends => {
+                let index = self.rng.random_range(0..self.endpoints.len());
+                self.end_endpoint(now, index);
             }
-            Trouble::Outages if now.is_multiple_of(4_000) => {
+            Disturbance::Outages if now.is_multiple_of(4_000) => {
                 let first = self.rng.random_range(0..3);
-                for at in (first..self.endpoints.len()).step_by(3) {
-                    self.die(now, at);
+                for index in (first..self.endpoints.len()).step_by(3) {
+                    self.end_endpoint(now, index);
                 }
             }
-            Trouble::SameRequests if now.is_multiple_of(10_000) => {
-                for at in (0..self.endpoints.len()).step_by(3) {
-                    self.die(now, at);
+            Disturbance::SameRequests if now.is_multiple_of(10_000) => {
+                for index in (0..self.endpoints.len()).step_by(3) {
+                    self.end_endpoint(now, index);
                 }
             }
-            Trouble::Resets if now.is_multiple_of(500) => {
+            Disturbance::Resets if now.is_multiple_of(500) => {
                 let router = self.rng.random_range(0..ROUTERS);
-                for at in 0..self.endpoints.len() {
-                    self.reset(now, router, at);
+                for index in 0..self.endpoints.len() {
+                    self.reset(now, router, index);
                 }
             }
             _ => {}
         }
     }
 
-    /// A router loses half of what it has at an endpoint, which goes on.
-    fn reset(&mut self, now: u64, router: usize, at: usize) {
-        let start = self.start(at);
-        let runs = std::mem::take(&mut self.endpoints[at].runs);
+    /// Makes a router lose half of its requests at an endpoint, which keeps running.
+    fn reset(&mut self, now: u64, router: usize, index: usize) {
+        let start = self.start(index);
+        let runs = std::mem::take(&mut self.endpoints[index].runs);
         let is_lost = |run: &Run| run.router == router && run.began.is_multiple_of(20);
         let (lost, left): (Vec<_>, Vec<_>) = runs.into_iter().partition(is_lost);
-        self.endpoints[at].runs = left;
+        self.endpoints[index].runs = left;
         if !lost.is_empty() {
-            self.endpoints[at].doubted_by.push((router, now));
-            self.lose(now, &start, lost);
+            self.endpoints[index].unconfirmed_losses.push((router, now));
+            self.fail_runs(now, &start, lost);
         }
     }
 }
--- a/tests/crashes/ways.rs
+++ b/tests/crashes/ways.rs
@@ -1,4 +1,4 @@
-//! Ways to decide which requests crash endpoints.
+//! Strategies to detect which requests crash endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,41 +11,41 @@
 
 use crate::day::ROUTERS;
 
-/// How often it is decided without news.
-const LOOK_EVERY_MS: u64 = 250;
+/// Time between two reviews without new observations.
+const REVIEW_INTERVAL_MS: u64 = 250;
 
-/// A way to decide.
+/// A detection strategy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Nothing is remembered.
+pub enum Strategy {
+    /// Refuses nothing.
     Never,
-    /// Each router counts what it lost itself, and refuses after three.
+    /// Each router counts its own losses, and refuses a request after three.
     EachRouterThree,
-    /// All together count, and refuse after two.
+    /// Losses of all routers are counted together; a request is refused after two.
     AllTwo,
-    /// All together count, and refuse after three.
+    /// The same, after three.
     AllThree,
-    /// The requests are blamed that explain most crashes.
+    /// Refuses the fewest requests that explain the crashes: the strategy of the product.
     FewestThatExplain,
 }
 
-/// What is decided so far by one way.
-pub struct Judge {
-    way: Way,
+/// Observations and decisions of one strategy.
+pub struct Detector {
+    strategy: Strategy,
     counts: BTreeMap<(usize, Fingerprint), BTreeSet<EndpointStart>>,
     observation_logs: Vec<ObservationLog>,
     analysis: CrashAnalysis,
     refused: BTreeSet<Fingerprint>,
 }
 
-impl Judge {
-    pub fn new(way: Way) -> Judge {
+impl Detector {
+    pub fn new(strategy: Strategy) -> Detector {
         let observation_logs = vec![ObservationLog::default(); ROUTERS];
         let (counts, analysis, refused) = Default::default();
-        Judge { way, counts, observation_logs, analysis, refused }
+        Detector { strategy, counts, observation_logs, analysis, refused }
     }
 
-    pub fn lost(
+    pub fn record_loss(
         &mut self,
         now: u64,
         router: usize,
@@ -54,39 +54,39 @@
         ran_ms: u32,
     ) {
         let (endpoint, fingerprint) = (endpoint.clone(), fingerprint.clone());
-        if self.way == Way::FewestThatExplain {
+        if self.strategy == Strategy::FewestThatExplain {
             self.observation_logs[router].record_loss(now, endpoint, fingerprint, ran_ms);
         } else {
-            let counter = if self.way == Way::EachRouterThree { router } else { 0 };
+            let counter = if self.strategy == Strategy::EachRouterThree { router } else { 0 };
             self.counts.entry((counter, fingerprint)).or_default().insert(endpoint);
         }
     }
 
-    pub fn answered(&mut self, now: u64, router: usize, endpoint: &EndpointStart) {
+    pub fn record_answer(&mut self, now: u64, router: usize, endpoint: &EndpointStart) {
         self.observation_logs[router].record_answer(now, endpoint, now);
     }
 
-    pub fn served(&mut self, now: u64, router: usize, fingerprint: &Fingerprint) {
+    pub fn record_served(&mut self, now: u64, router: usize, fingerprint: &Fingerprint) {
         let is_suspect = self.refused.contains(fingerprint);
         self.observation_logs[router].record_served(now, fingerprint, is_suspect);
     }
 
-    /// What the leader does with what routers tell it, without the way there and back.
-    pub fn decide(&mut self, now: u64) {
-        if self.way != Way::FewestThatExplain {
+    /// Reviews the reports of routers as the leader does, without network delays.
+    pub fn review(&mut self, now: u64) {
+        if self.strategy != Strategy::FewestThatExplain {
             return;
         }
-        let mut has_news = now.is_multiple_of(LOOK_EVERY_MS);
+        let mut has_changes = now.is_multiple_of(REVIEW_INTERVAL_MS);
         for (router, observation_log) in (0..).zip(&mut self.observation_logs) {
             if observation_log.due().is_none_or(|due| due > now) {
                 continue;
             }
-            has_news = true;
+            has_changes = true;
             for observation in observation_log.report(now).observations {
                 self.analysis.record(now, HostId(router), observation);
             }
         }
-        if !has_news {
+        if !has_changes {
             return;
         }
         let refused = &self.refused;
@@ -108,12 +108,12 @@
     pub fn refuses(&self, router: usize, fingerprint: &Fingerprint) -> bool {
         let count =
             |router| self.counts.get(&(router, fingerprint.clone())).map_or(0, BTreeSet::len);
-        match self.way {
-            Way::Never => false,
-            Way::EachRouterThree => count(router) >= 3,
-            Way::AllTwo => count(0) >= 2,
-            Way::AllThree => count(0) >= 3,
-            Way::FewestThatExplain => self.refused.contains(fingerprint),
+        match self.strategy {
+            Strategy::Never => false,
+            Strategy::EachRouterThree => count(router) >= 3,
+            Strategy::AllTwo => count(0) >= 2,
+            Strategy::AllThree => count(0) >= 3,
+            Strategy::FewestThatExplain => self.refused.contains(fingerprint),
         }
     }
 }
--- a/tests/generated_crashes.rs
+++ b/tests/generated_crashes.rs
@@ -1,6 +1,6 @@
-//! Generated days of a fleet in which requests crash endpoints, endpoints die of something
-//! else and connections break: how many endpoints a request that crashes them can end, and how
-//! many others are refused by mistake; today's way beside others.
+//! Simulates fleets in which requests crash endpoints, endpoints end for other reasons and
+//! connections break. Counts how many endpoints a crashing request ends and how many harmless
+//! requests are refused, with the strategy of the product and with others.
 //!
 //! `cargo test --test generated_crashes -- --nocapture` prints the table.
 
@@ -9,50 +9,51 @@
 #[path = "crashes/ways.rs"]
 mod ways;
 
-use day::{Day, Outcome, Trouble};
-use ways::Way;
+use day::{Disturbance, Outcome, Simulation};
+use ways::Strategy;
 
-/// Seeds of each kind of day: few of the large fleet, which takes ten times as long to play.
-/// `CRASH_SEEDS` asks for more of both.
+/// Number of seeds of each disturbance; fewer for the large fleet, whose simulation takes ten
+/// times as long. `CRASH_SEEDS` overrides both.
 const SEEDS: u64 = 20;
 const SEEDS_LARGE: u64 = 2;
 
-fn days(endpoints: usize, trouble: Trouble, way: Way) -> Outcome {
-    let asked = std::env::var("CRASH_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
-    let seeds = asked.unwrap_or(if endpoints > 9 { SEEDS_LARGE } else { SEEDS });
-    let outcomes = (0..seeds).map(|seed| Day::new(seed, endpoints, trouble, way).play());
-    outcomes.fold(Outcome::default(), Outcome::and)
+fn run_seeds(endpoints: usize, disturbance: Disturbance, strategy: Strategy) -> Outcome {
+    let seeds_variable = std::env::var("CRASH_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
+    let seeds = seeds_variable.unwrap_or(if endpoints > 9 { SEEDS_LARGE } else { SEEDS });
+    let outcomes =
+        (0..seeds).map(|seed| Simulation::new(seed, endpoints, disturbance, strategy).run());
+    outcomes.fold(Outcome::default(), Outcome::merge)
 }
 
 #[test]
-fn what_crashes_endpoints_is_stopped_and_hardly_anything_else_is() {
+fn crashing_requests_are_refused_and_few_others_are() {
     for endpoints in [9, 90] {
-        for trouble in Trouble::ALL {
-            let kept = days(endpoints, trouble, Way::FewestThatExplain);
-            let what = format!("{endpoints} endpoints, {trouble:?}: {kept}");
-            println!("{what}");
-            // A request that crashes endpoints may reach three more, once the fleet had 3 s
-            // to learn of the third crash.
-            assert!(kept.most_after_learning <= 3, "{what}");
-            // One in a thousand is what else is lost on a day without any trouble.
-            assert!(kept.refused_by_mistake * 1_000 <= kept.innocent, "{what}");
+        for disturbance in Disturbance::ALL {
+            let outcome = run_seeds(endpoints, disturbance, Strategy::FewestThatExplain);
+            let description = format!("{endpoints} endpoints, {disturbance:?}: {outcome}");
+            println!("{description}");
+            // A crashing request may reach three more endpoints later than 3 s after its third
+            // crash.
+            assert!(outcome.max_late_sends <= 3, "{description}");
+            // One in a thousand is also lost for other reasons when nothing is disturbed.
+            assert!(outcome.wrongly_refused * 1_000 <= outcome.harmless, "{description}");
         }
     }
 }
 
 #[test]
-fn other_ways_stop_it_later_or_refuse_others() {
-    let of = |trouble, way| {
-        let outcome = days(9, trouble, way);
-        println!("{trouble:?}: {way:?}: {outcome}");
+fn other_strategies_refuse_later_or_refuse_more_harmless_requests() {
+    let outcome_of = |disturbance, strategy| {
+        let outcome = run_seeds(9, disturbance, strategy);
+        println!("{disturbance:?}: {strategy:?}: {outcome}");
         outcome
     };
-    for trouble in Trouble::ALL {
+    for disturbance in Disturbance::ALL {
         let [never, each_router, two, three] =
-            [Way::Never, Way::EachRouterThree, Way::AllTwo, Way::AllThree]
-                .map(|way| of(trouble, way));
+            [Strategy::Never, Strategy::EachRouterThree, Strategy::AllTwo, Strategy::AllThree]
+                .map(|strategy| outcome_of(disturbance, strategy));
         assert!(never.ended > 10 * three.ended.min(two.ended));
-        assert!(each_router.most_after_learning > 3, "it never learns in time");
-        assert!(two.refused_by_mistake > three.refused_by_mistake);
+        assert!(each_router.max_late_sends > 3, "single routers detect it too late");
+        assert!(two.wrongly_refused > three.wrongly_refused);
     }
 }
--- a/tests/generated_rests.rs
+++ b/tests/generated_rests.rs
@@ -1,6 +1,6 @@
-//! Ways to let an endpoint rest that asks for it, compared on the same generated days.
+//! Compares strategies to let an endpoint rest on its request, on the same simulations.
 //!
-//! `cargo test --test generated_rests -- --nocapture` prints the figures; `RESTS_SEEDS` sets
+//! `cargo test --test generated_rests -- --nocapture` prints the results; `RESTS_SEEDS` sets
 //! the number of seeds.
 
 #[path = "rests/day.rs"]
@@ -8,83 +8,89 @@
 #[path = "rests/ways.rs"]
 mod ways;
 
-use day::{Day, Figures, Kind};
-use ways::Way;
+use day::{Results, Simulation, Workload};
+use ways::Strategy;
 
 const SEEDS: u64 = 4;
 
-const USUAL: Kind = Kind {
+const USUAL: Workload = Workload {
     name: "one of three, as in the incident",
     routers: 8,
     endpoints: 3,
     slots: 6,
-    rate: 300.0,
-    takes_ms: (25, 400),
+    requests_per_s: 300.0,
+    service_ms: (25, 400),
     resting: 1,
-    turns_away_ms: 9_000,
-    asks_ms: 3_000,
+    rejecting_ms: 9_000,
+    requested_rest_ms: 3_000,
 };
 
-const KINDS: [Kind; 5] = [
+const WORKLOADS: [Workload; 5] = [
     USUAL,
-    Kind { name: "short rests", asks_ms: 1_000, turns_away_ms: 500, ..USUAL },
-    Kind { name: "all of them", resting: 3, turns_away_ms: 1_500, asks_ms: 1_000, ..USUAL },
-    Kind { name: "long answers", takes_ms: (25, 1_100), rate: 120.0, ..USUAL },
-    Kind {
+    Workload { name: "short rests", requested_rest_ms: 1_000, rejecting_ms: 500, ..USUAL },
+    Workload {
+        name: "all endpoints",
+        resting: 3,
+        rejecting_ms: 1_500,
+        requested_rest_ms: 1_000,
+        ..USUAL
+    },
+    Workload { name: "long answers", service_ms: (25, 1_100), requests_per_s: 120.0, ..USUAL },
+    Workload {
         name: "340 routers, 12 endpoints",
         routers: 340,
         endpoints: 12,
         slots: 60,
-        rate: 4_000.0,
-        takes_ms: (60, 400),
+        requests_per_s: 4_000.0,
+        service_ms: (60, 400),
         resting: 3,
-        turns_away_ms: 3_000,
-        asks_ms: 3_000,
+        rejecting_ms: 3_000,
+        requested_rest_ms: 3_000,
     },
 ];
 
-fn play(kind: Kind, way: Way) -> Figures {
+fn run(workload: Workload, strategy: Strategy) -> Results {
     let seeds: u64 = std::env::var("RESTS_SEEDS").map_or(SEEDS, |text| text.parse().unwrap());
-    let mut sum = Figures::default();
+    let mut sum = Results::default();
     for seed in 0..seeds {
-        let day = Day::play(kind, way, seed);
-        sum.requests += day.requests;
-        sum.broken += day.broken;
-        sum.turned_away += day.turned_away;
-        sum.refused += day.refused;
-        sum.rush = sum.rush.max(day.rush);
-        sum.share_back_ms = sum.share_back_ms.max(day.share_back_ms);
+        let simulation = Simulation::run(workload, strategy, seed);
+        sum.requests += simulation.requests;
+        sum.violations += simulation.violations;
+        sum.turned_away += simulation.turned_away;
+        sum.refused += simulation.refused;
+        sum.peak_ratio = sum.peak_ratio.max(simulation.peak_ratio);
+        sum.recovery_ms = sum.recovery_ms.max(simulation.recovery_ms);
     }
     println!(
-        "{:32} {way:8?} {:7} requests, {:4} rests broken, {:6} turned away, {:6} refused, \
-         rush {:4.1}, share back after {:5} ms",
-        kind.name,
+        "{:32} {strategy:8?} {:7} requests, {:4} rests violated, {:6} turned away, {:6} refused, \
+         peak {:4.1}, share regained after {:5} ms",
+        workload.name,
         sum.requests,
-        sum.broken,
+        sum.violations,
         sum.turned_away,
         sum.refused,
-        sum.rush,
-        sum.share_back_ms
+        sum.peak_ratio,
+        sum.recovery_ms
     );
     sum
 }
 
 #[test]
-fn rests_are_kept_and_end_without_a_rush() {
-    for kind in KINDS {
-        for way in [Way::Failure, Way::Obey, Way::Ramp] {
-            play(kind, way);
+fn rests_are_observed_and_shares_are_regained_in_time() {
+    for workload in WORKLOADS {
+        for strategy in [Strategy::Failure, Strategy::Obey, Strategy::Ramp] {
+            run(workload, strategy);
         }
-        let kept = play(kind, Way::Trial);
-        assert_eq!(kept.broken, 0, "{}", kind.name);
-        // Its share is back within a second after the longest rest, from any router.
-        let latest = kind.asks_ms + 1_000;
-        assert!(kept.share_back_ms <= latest, "{}: {} ms", kind.name, kept.share_back_ms);
+        let results = run(workload, Strategy::Trial);
+        assert_eq!(results.violations, 0, "{}", workload.name);
+        // An endpoint regains its share within a second after the longest rest that it requested.
+        let latest = workload.requested_rest_ms + 1_000;
+        assert!(results.recovery_ms <= latest, "{}: {} ms", workload.name, results.recovery_ms);
     }
 }
 
-/// The check finds what broke the rule in the incident.
+/// Treating a request for rest as a failure caused the incident; the check must detect it.
 #[test]
-fn failures_alone_break_rests() {
-    assert!(play(USUAL, Way::Failure).broken > 0);
+fn treating_rest_requests_as_failures_violates_rests() {
+    assert!(run(USUAL, Strategy::Failure).violations > 0);
 }
--- a/tests/starts/day.rs
+++ b/tests/starts/day.rs
@@ -1,4 +1,4 @@
-//! One endpoint that starts again and again, and a router that hears of it late.
+//! Simulates an endpoint that restarts repeatedly, and a router that is notified late.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -7,80 +7,88 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::ways::{May, Router, Way};
+use crate::ways::{Permission, Router, Strategy};
 
 pub const ENDPOINT: &str = "e";
 /// Milliseconds between the endpoint's first and last start.
-const DAY_MS: u64 = 120_000;
-/// Milliseconds of the day by the router's clock when it begins: clocks may be behind.
-const DAWN_MS: u64 = 1_000_000;
+const DURATION_MS: u64 = 120_000;
+/// The router's clock at the beginning, in milliseconds; above zero because an endpoint's clock
+/// may be behind.
+const BEGIN_MS: u64 = 1_000_000;
 /// Milliseconds from a start's end to the next one.
 const DOWN_MS: Range<u64> = 100..1_000;
-/// Milliseconds for a question and its answer, and until one that got none is repeated.
-const QUESTION_MS: Range<u64> = 1..20;
-const REPEAT_MS: u64 = 200;
-/// Milliseconds for which a start must take work to count as usable.
-const USABLE_MS: u64 = 2_500;
+/// Milliseconds for a query and its answer.
+const QUERY_MS: Range<u64> = 1..20;
+/// Milliseconds until a query without an answer is repeated.
+const QUERY_RETRY_MS: u64 = 200;
+/// Milliseconds for which a start must accept work to count as usable.
+const MIN_USABLE_MS: u64 = 2_500;
+/// Length of a rest, in milliseconds.
 const REST_MS: Range<u64> = 300..4_000;
-const NEWS_MS: Range<u64> = 10..150;
+/// Delay until the router is notified of a start, in milliseconds, unless the update is late.
+const UPDATE_DELAY_MS: Range<u64> = 10..150;
 
-/// A kind of day.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct Workload {
     pub name: &'static str,
-    /// How long a start lives, in milliseconds.
-    pub lives_ms: Range<u64>,
-    /// How late news of a start is, and of how many it is so late.
-    pub late_news_ms: Range<u64>,
+    /// How long a start runs, in milliseconds.
+    pub uptime_ms: Range<u64>,
+    /// Delay of a late update about a start, in milliseconds.
+    pub late_update_ms: Range<u64>,
+    /// Share of starts whose update is late.
     pub late_share: f64,
-    /// By how much the endpoint's clock is ahead.
-    pub skew_ms: i64,
+    /// How far the endpoint's clock is ahead, in milliseconds.
+    pub clock_skew_ms: i64,
     pub requests_per_s: f64,
-    /// How long an answer takes.
-    pub answers_ms: Range<u64>,
+    /// How long an answer takes, in milliseconds.
+    pub response_ms: Range<u64>,
 }
 
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Results {
     pub requests: u64,
-    /// Requests that reached a start after the router had its word that it wants none.
-    pub broken: u64,
-    /// Starts that took work for long enough once they were known, and those never used.
+    /// Requests that reached a start after its notice that it refuses work had reached the
+    /// router.
+    pub violations: u64,
+    /// Starts that accepted work for at least [`MIN_USABLE_MS`] once they were known.
     pub usable: u64,
+    /// Usable starts that got no request.
     pub unused: u64,
-    /// From when a usable start could be sent to until it was, in all and at most.
+    /// Time from when a usable start could get a request until it did, summed over all starts.
     pub waited_ms: u64,
-    pub longest_wait_ms: u64,
-    pub questions: u64,
+    /// The longest such time.
+    pub max_wait_ms: u64,
+    pub queries: u64,
 }
 
-impl Figures {
-    pub fn add(&mut self, other: &Figures) {
+impl Results {
+    pub fn add(&mut self, other: &Results) {
         self.requests += other.requests;
-        self.broken += other.broken;
+        self.violations += other.violations;
         self.usable += other.usable;
         self.unused += other.unused;
         self.waited_ms += other.waited_ms;
-        self.longest_wait_ms = self.longest_wait_ms.max(other.longest_wait_ms);
-        self.questions += other.questions;
+        self.max_wait_ms = self.max_wait_ms.max(other.max_wait_ms);
+        self.queries += other.queries;
     }
 }
 
-/// A start as the router knows it.
+/// What the router knows about a start.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct KnownStart {
     pub number: u64,
-    pub born_ms: u64,
+    pub started_at_ms: u64,
 }
 
-/// What a head says.
+/// The notice in the head of an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
+pub struct ResponseHead {
     pub leaves: bool,
     pub rests_ms: Option<u64>,
 }
 
-/// A start as it is.
+/// A start of the endpoint; times are milliseconds of the router's clock.
 struct Start {
     begins: u64,
     ends: u64,
@@ -92,199 +100,203 @@
 }
 
 impl Start {
-    fn draw(kind: &Kind, rng: &mut SmallRng, begins: u64) -> Start {
-        let ends = begins + rng.random_range(kind.lives_ms.clone());
+    fn draw(workload: &Workload, rng: &mut SmallRng, begins: u64) -> Start {
+        let ends = begins + rng.random_range(workload.uptime_ms.clone());
         let within = |rng: &mut SmallRng| rng.random_range(begins..ends);
-        // A third leaves before it ends, a third rests at some time, some from the first.
+        // A third leaves before it ends; a third rests at some time, half of them from the start.
         let leaves_at = if rng.random_bool(0.33) { within(rng) } else { u64::MAX };
         let rest_at = if rng.random_bool(0.5) { begins } else { within(rng) };
         let rest_ms = if rng.random_bool(0.33) { rng.random_range(REST_MS) } else { 0 };
-        let is_late = rng.random_bool(kind.late_share);
-        let news = if is_late { kind.late_news_ms.clone() } else { NEWS_MS };
-        let known_at = begins + rng.random_range(news);
+        let is_late = rng.random_bool(workload.late_share);
+        let update_delay_ms =
+            if is_late { workload.late_update_ms.clone() } else { UPDATE_DELAY_MS };
+        let known_at = begins + rng.random_range(update_delay_ms);
         Start { begins, ends, leaves_at, rest: rest_at..rest_at + rest_ms, known_at, used_at: None }
     }
 
-    fn takes_work(&self, now: u64) -> bool {
+    fn accepts_work(&self, now: u64) -> bool {
         now >= self.begins && now < self.ends.min(self.leaves_at) && !self.rest.contains(&now)
     }
 
-    fn says(&self, now: u64) -> Said {
+    fn response_head(&self, now: u64) -> ResponseHead {
         let rests_ms = self.rest.contains(&now).then(|| self.rest.end - now);
-        Said { leaves: now >= self.leaves_at, rests_ms }
+        ResponseHead { leaves: now >= self.leaves_at, rests_ms }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    Comes,
-    /// An answer of the start of this number to a request sent to another that was known.
+enum Event {
+    Arrives,
+    /// The start `by` answered a request that was sent when `sent_to` was the known start.
     Answered {
         by: usize,
         sent_to: usize,
     },
-    Asked {
+    QueryDone {
         sent_to: usize,
         by: Option<usize>,
     },
 }
 
-struct Day<'a> {
-    kind: &'a Kind,
+struct Simulation<'a> {
+    workload: &'a Workload,
     rng: SmallRng,
     now: u64,
     starts: Vec<Start>,
     router: Router,
-    events: BinaryHeap<Reverse<(u64, usize, What)>>,
+    events: BinaryHeap<Reverse<(u64, usize, Event)>>,
     number: usize,
-    /// What each start said that reached the router: that it leaves, or until when it rests.
-    told: BTreeMap<usize, (bool, u64)>,
-    is_asking: bool,
-    figures: Figures,
+    /// Notices that reached the router, by start: whether it leaves, and until when it rests.
+    received_notices: BTreeMap<usize, (bool, u64)>,
+    is_query_pending: bool,
+    results: Results,
 }
 
-pub fn play(kind: &Kind, way: Way, seed: u64) -> Figures {
+pub fn run(workload: &Workload, strategy: Strategy, seed: u64) -> Results {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut starts = Vec::new();
-    let mut begins = DAWN_MS;
-    while begins < DAWN_MS + DAY_MS {
-        let start = Start::draw(kind, &mut rng, begins);
+    let mut begins = BEGIN_MS;
+    while begins < BEGIN_MS + DURATION_MS {
+        let start = Start::draw(workload, &mut rng, begins);
         begins = start.ends + rng.random_range(DOWN_MS);
         starts.push(start);
     }
-    let mut day = Day {
-        kind,
+    let mut simulation = Simulation {
+        workload,
         rng,
-        now: DAWN_MS,
+        now: BEGIN_MS,
         starts,
-        router: Router::new(way),
+        router: Router::new(strategy),
         events: BinaryHeap::new(),
         number: 0,
-        told: BTreeMap::new(),
-        is_asking: false,
-        figures: Figures::default(),
+        received_notices: BTreeMap::new(),
+        is_query_pending: false,
+        results: Results::default(),
     };
-    day.later(0, What::Comes);
-    while let Some(Reverse((at, _, what))) = day.events.pop() {
-        day.now = at;
-        match what {
-            What::Comes => day.comes(),
-            What::Answered { by, sent_to } => day.answered(by, sent_to),
-            What::Asked { sent_to, by } => day.asked(sent_to, by),
+    simulation.schedule(0, Event::Arrives);
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
+        simulation.now = at;
+        match event {
+            Event::Arrives => simulation.on_arrival(),
+            Event::Answered { by, sent_to } => simulation.on_answered(by, sent_to),
+            Event::QueryDone { sent_to, by } => simulation.on_query_done(sent_to, by),
         }
     }
-    day.evaluate()
+    simulation.evaluate()
 }
 
-impl Day<'_> {
-    fn later(&mut self, ms: u64, what: What) {
+impl Simulation<'_> {
+    fn schedule(&mut self, ms: u64, event: Event) {
         self.number += 1;
-        self.events.push(Reverse((self.now + ms, self.number, what)));
+        self.events.push(Reverse((self.now + ms, self.number, event)));
     }
 
-    /// The latest start that the router has heard of.
+    /// The latest start that the router was notified of.
     fn known(&self) -> Option<usize> {
         self.starts.iter().rposition(|start| start.known_at <= self.now)
     }
 
-    fn as_known(&self, number: usize) -> Known {
-        let born_ms = self.starts[number].begins.saturating_add_signed(self.kind.skew_ms);
-        Known { number: number as u64 + 1, born_ms }
+    fn known_start(&self, number: usize) -> KnownStart {
+        let started_at_ms =
+            self.starts[number].begins.saturating_add_signed(self.workload.clock_skew_ms);
+        KnownStart { number: number as u64 + 1, started_at_ms }
     }
 
-    /// The start that is there.
-    fn there(&self) -> Option<usize> {
+    /// The start that is running.
+    fn running_start(&self) -> Option<usize> {
         self.starts.iter().position(|start| (start.begins..start.ends).contains(&self.now))
     }
 
-    fn comes(&mut self) {
-        if self.now >= DAWN_MS + DAY_MS {
+    fn on_arrival(&mut self) {
+        if self.now >= BEGIN_MS + DURATION_MS {
             return;
         }
-        let gap = -self.rng.random::<f64>().max(1e-12).ln() * 1_000.0 / self.kind.requests_per_s;
-        self.later(gap as u64 + 1, What::Comes);
+        let gap =
+            -self.rng.random::<f64>().max(1e-12).ln() * 1_000.0 / self.workload.requests_per_s;
+        self.schedule(gap as u64 + 1, Event::Arrives);
         let Some(number) = self.known() else { return };
-        let known = self.as_known(number);
-        match self.router.may(self.now, known) {
-            May::Wait => {}
-            May::AskFirst if self.is_asking => {}
-            May::AskFirst => self.ask(number),
-            May::Send => self.send(number, known),
+        let known = self.known_start(number);
+        match self.router.permission(self.now, known) {
+            Permission::Wait => {}
+            Permission::QueryFirst if self.is_query_pending => {}
+            Permission::QueryFirst => self.send_query(number),
+            Permission::Send => self.send(number, known),
         }
     }
 
-    fn send(&mut self, number: usize, known: Known) {
-        self.figures.requests += 1;
-        self.router.sent(self.now, known);
-        let Some(by) = self.there() else { return };
-        if let Some((leaves, rests_until)) = self.told.get(&by)
+    fn send(&mut self, number: usize, known: KnownStart) {
+        self.results.requests += 1;
+        self.router.record_sent(self.now, known);
+        let Some(by) = self.running_start() else { return };
+        if let Some((leaves, rests_until)) = self.received_notices.get(&by)
             && (*leaves || *rests_until > self.now)
         {
-            self.figures.broken += 1;
+            self.results.violations += 1;
         }
         if by == number {
             self.starts[by].used_at.get_or_insert(self.now);
         }
-        let turned_away = self.starts[by].says(self.now).rests_ms.is_some();
-        let takes = if turned_away { 1..3 } else { self.kind.answers_ms.clone() };
-        let takes = self.rng.random_range(takes);
-        self.later(takes, What::Answered { by, sent_to: number });
+        let turned_away = self.starts[by].response_head(self.now).rests_ms.is_some();
+        let duration_ms = if turned_away { 1..3 } else { self.workload.response_ms.clone() };
+        let duration_ms = self.rng.random_range(duration_ms);
+        self.schedule(duration_ms, Event::Answered { by, sent_to: number });
     }
 
-    fn answered(&mut self, by: usize, sent_to: usize) {
-        // It has crashed before the answer.
+    fn on_answered(&mut self, by: usize, sent_to: usize) {
+        // The start ended before it answered.
         if self.now >= self.starts[by].ends {
             return;
         }
-        self.hear(by, sent_to);
+        self.deliver_head(by, sent_to);
     }
 
-    fn hear(&mut self, by: usize, sent_to: usize) {
-        let said = self.starts[by].says(self.now);
-        let told = self.told.entry(by).or_default();
-        told.0 |= said.leaves;
-        told.1 = told.1.max(said.rests_ms.map_or(0, |time| self.now + time));
+    fn deliver_head(&mut self, by: usize, sent_to: usize) {
+        let head = self.starts[by].response_head(self.now);
+        let received = self.received_notices.entry(by).or_default();
+        received.0 |= head.leaves;
+        received.1 = received.1.max(head.rests_ms.map_or(0, |time| self.now + time));
         let known = self.known().unwrap_or(sent_to);
-        let (sent_to, known) = (self.as_known(sent_to), self.as_known(known));
-        self.router.answered(self.now, sent_to, known, said);
+        let (sent_to, known) = (self.known_start(sent_to), self.known_start(known));
+        self.router.record_response(self.now, sent_to, known, head);
     }
 
-    fn ask(&mut self, number: usize) {
-        self.figures.questions += 1;
-        self.is_asking = true;
-        let by = self.there();
-        let takes = if by.is_some() { self.rng.random_range(QUESTION_MS) } else { REPEAT_MS };
-        self.later(takes, What::Asked { sent_to: number, by });
+    fn send_query(&mut self, number: usize) {
+        self.results.queries += 1;
+        self.is_query_pending = true;
+        let by = self.running_start();
+        let duration_ms =
+            if by.is_some() { self.rng.random_range(QUERY_MS) } else { QUERY_RETRY_MS };
+        self.schedule(duration_ms, Event::QueryDone { sent_to: number, by });
     }
 
-    fn asked(&mut self, sent_to: usize, by: Option<usize>) {
-        self.is_asking = false;
+    fn on_query_done(&mut self, sent_to: usize, by: Option<usize>) {
+        self.is_query_pending = false;
         if let Some(by) = by.filter(|by| self.now < self.starts[*by].ends) {
-            self.hear(by, sent_to);
+            self.deliver_head(by, sent_to);
         }
     }
 
-    fn evaluate(mut self) -> Figures {
+    fn evaluate(mut self) -> Results {
         for start in &self.starts {
-            // From when it was known and took work, until it wanted none.
+            // The span from when the start was known and accepted work until it refused work.
             let rests_at_first = start.rest.contains(&start.known_at);
             let from = if rests_at_first { start.rest.end } else { start.known_at };
             let rest_begins = if start.rest.start > from { start.rest.start } else { u64::MAX };
             let until = start.ends.min(start.leaves_at).min(rest_begins);
-            if until < from + USABLE_MS || until > DAWN_MS + DAY_MS {
+            if until < from + MIN_USABLE_MS || until > BEGIN_MS + DURATION_MS {
                 continue;
             }
-            debug_assert!(start.takes_work(from));
-            self.figures.usable += 1;
+            debug_assert!(start.accepts_work(from));
+            self.results.usable += 1;
             match start.used_at {
                 Some(at) if at < until => {
                     let waited = at.saturating_sub(from);
-                    self.figures.waited_ms += waited;
-                    self.figures.longest_wait_ms = self.figures.longest_wait_ms.max(waited);
+                    self.results.waited_ms += waited;
+                    self.results.max_wait_ms = self.results.max_wait_ms.max(waited);
                 }
-                _ => self.figures.unused += 1,
+                _ => self.results.unused += 1,
             }
         }
-        self.figures
+        self.results
     }
 }
--- a/tests/starts/ways.rs
+++ b/tests/starts/ways.rs
@@ -1,124 +1,139 @@
-//! Ways for a router to treat the word of an endpoint whose start it may not know.
+//! Strategies for a router to treat a notice of an endpoint whose start it may not know.
 
 use std::net::SocketAddr;
 
 use bramblecrank::notice::{Notice, RequestedRest, StartAddress, UnattributedNotices};
 
-use crate::day::{ENDPOINT, Known, Said};
+use crate::day::{ENDPOINT, KnownStart, ResponseHead};
 
-/// Milliseconds for which [`Way::Rest`] leaves a start out.
-const LEFT_OUT_MS: u64 = 20_000;
+/// Milliseconds for which [`Strategy::Rest`] excludes a start.
+const EXCLUSION_MS: u64 = 20_000;
 
-/// A way.
+/// A strategy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// The word counts for the start that was known, and ends with it: what was done before.
+pub enum Strategy {
+    /// The notice applies to the start that was known, and expires with it: the former strategy
+    /// of the product.
     Forget,
-    /// The word counts for the next start too.
+    /// The notice applies to the next start too.
     Carry,
-    /// A later start that had begun, by its own time, before the answer came is left out for
-    /// some seconds.
+    /// Excludes a later start for [`EXCLUSION_MS`] if, by its own clock, it began before the
+    /// answer arrived.
     Rest,
-    /// A later start is sent one request, and its answer decides.
+    /// Sends one request to a later start, whose answer decides.
     Trial,
-    /// A later start is asked: what the product does.
+    /// Queries a later start before sending to it: the strategy of the product.
     Ask,
 }
 
-/// What a router may do with the start that it knows.
+/// Whether a router may send requests to the start that it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum May {
+pub enum Permission {
     Send,
-    AskFirst,
+    QueryFirst,
     Wait,
 }
 
-/// What a start said of itself.
+/// The latest notice of a start, with times in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Word {
+struct RecordedNotice {
     start: u64,
     leaves: bool,
     rests_until: u64,
-    heard_at: u64,
+    received_at: u64,
 }
 
-impl Word {
-    fn bars(&self, now: u64) -> bool {
+impl RecordedNotice {
+    fn refuses_work_at(&self, now: u64) -> bool {
         self.leaves || self.rests_until > now
     }
 }
 
 /// One router's view of one endpoint.
 pub struct Router {
-    way: Way,
-    /// By the start that was known when the request was sent.
-    word: Word,
+    strategy: Strategy,
+    /// Attributed to the start that was known when the request was sent.
+    recorded: RecordedNotice,
     unattributed: UnattributedNotices,
-    /// A start that was sent its trial.
-    tried: Option<u64>,
+    /// The start that was sent a trial request.
+    trial_sent_to: Option<u64>,
 }
 
-fn start_at(known: Known) -> StartAddress<'static> {
+fn start_address(known: KnownStart) -> StartAddress<'static> {
     let address: SocketAddr = ([127, 0, 0, 1], 80).into();
-    StartAddress { id: ENDPOINT, started_at_ms: known.born_ms, address }
+    StartAddress { id: ENDPOINT, started_at_ms: known.started_at_ms, address }
 }
 
 impl Router {
-    pub fn new(way: Way) -> Router {
+    pub fn new(strategy: Strategy) -> Router {
         let unattributed = UnattributedNotices::default();
-        Router { way, word: Word::default(), unattributed, tried: None }
+        Router { strategy, recorded: RecordedNotice::default(), unattributed, trial_sent_to: None }
     }
 
-    pub fn may(&mut self, now: u64, known: Known) -> May {
-        let word = self.word;
-        let is_later = known.number > word.start;
-        if !is_later && word.bars(now) {
-            return May::Wait;
+    pub fn permission(&mut self, now: u64, known: KnownStart) -> Permission {
+        let recorded = self.recorded;
+        let is_later = known.number > recorded.start;
+        if !is_later && recorded.refuses_work_at(now) {
+            return Permission::Wait;
         }
-        let is_doubtful = is_later && word.bars(now);
-        match self.way {
-            Way::Forget => May::Send,
-            Way::Carry if is_doubtful => May::Wait,
-            Way::Rest if is_doubtful => {
-                let had_begun = known.born_ms <= word.heard_at;
-                let is_over = now >= word.heard_at + LEFT_OUT_MS;
-                if had_begun && !is_over { May::Wait } else { May::Send }
+        let is_uncertain = is_later && recorded.refuses_work_at(now);
+        match self.strategy {
+            Strategy::Forget => Permission::Send,
+            Strategy::Carry if is_uncertain => Permission::Wait,
+            Strategy::Rest if is_uncertain => {
+                let had_begun = known.started_at_ms <= recorded.received_at;
+                let is_over = now >= recorded.received_at + EXCLUSION_MS;
+                if had_begun && !is_over { Permission::Wait } else { Permission::Send }
             }
-            Way::Trial if is_doubtful && self.tried == Some(known.number) => May::Wait,
-            Way::Ask if self.unattributed.may_apply_to(now, start_at(known)) => May::AskFirst,
-            _ => May::Send,
+            Strategy::Trial if is_uncertain && self.trial_sent_to == Some(known.number) => {
+                Permission::Wait
+            }
+            Strategy::Ask if self.unattributed.may_apply_to(now, start_address(known)) => {
+                Permission::QueryFirst
+            }
+            _ => Permission::Send,
         }
     }
 
-    pub fn sent(&mut self, now: u64, known: Known) {
-        if self.way == Way::Trial && known.number > self.word.start && self.word.bars(now) {
-            self.tried = Some(known.number);
+    pub fn record_sent(&mut self, now: u64, known: KnownStart) {
+        if self.strategy == Strategy::Trial
+            && known.number > self.recorded.start
+            && self.recorded.refuses_work_at(now)
+        {
+            self.trial_sent_to = Some(known.number);
         }
     }
 
-    /// An answer came to a request that was sent when `sent_to` was known; `known` is now.
-    pub fn answered(&mut self, now: u64, sent_to: Known, known: Known, said: Said) {
+    /// Records an answer to a request that was sent when `sent_to` was the known start; `known`
+    /// is the known start now.
+    pub fn record_response(
+        &mut self,
+        now: u64,
+        sent_to: KnownStart,
+        known: KnownStart,
+        head: ResponseHead,
+    ) {
         let notice = Notice {
-            leaves: said.leaves,
-            rest: said.rests_ms.map_or(RequestedRest::None, RequestedRest::For),
+            leaves: head.leaves,
+            rest: head.rests_ms.map_or(RequestedRest::None, RequestedRest::For),
         };
-        self.unattributed.record(now, start_at(sent_to), &notice);
-        if self.way == Way::Trial && self.tried == Some(sent_to.number) {
-            self.tried = None;
-            self.word = Word { start: sent_to.number, ..Word::default() };
+        self.unattributed.record(now, start_address(sent_to), &notice);
+        if self.strategy == Strategy::Trial && self.trial_sent_to == Some(sent_to.number) {
+            self.trial_sent_to = None;
+            self.recorded = RecordedNotice { start: sent_to.number, ..RecordedNotice::default() };
         }
-        let counts = self.way == Way::Carry || sent_to.number == known.number;
-        if !counts || !notice.refuses_work() {
+        let is_recorded = self.strategy == Strategy::Carry || sent_to.number == known.number;
+        if !is_recorded || !notice.refuses_work() {
             return;
         }
-        let rests_until = said.rests_ms.map_or(0, |time| now + time + 1);
-        let before = Some(self.word).filter(|word| word.start == sent_to.number);
+        let rests_until = head.rests_ms.map_or(0, |duration_ms| now + duration_ms + 1);
+        let before = Some(self.recorded).filter(|recorded| recorded.start == sent_to.number);
         let before = before.unwrap_or_default();
-        self.word = Word {
+        self.recorded = RecordedNotice {
             start: sent_to.number,
-            leaves: before.leaves || said.leaves,
+            leaves: before.leaves || head.leaves,
             rests_until: before.rests_until.max(rests_until),
-            heard_at: now,
+            received_at: now,
         };
     }
 }
