--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -21,7 +21,7 @@
     /// No rollout of the service was ever ordered.
     NoRollout,
     /// Another rollout of the service is under way.
-    UnderWay,
+    RolloutInProgress,
     /// Another host leads.
     Elsewhere(HostId),
     /// The outcome or state is not known for certain; the call may be sent again.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -35,7 +35,7 @@
 const MAX_OPEN_BYTES: usize = 4_096;
 /// One in this many malformed datagrams is logged, which gives a few lines a minute during
 /// a rolling restart of a fleet.
-const MALFORMED_LOG_INTERVAL: u64 = 64;
+const MALFORMED_PER_LOG_LINE: u64 = 64;
 /// The interval at which the view is recomputed, and the pause after a failed accept.
 const VIEW_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -75,8 +75,8 @@
 }
 
 impl Peers {
-    /// Opens the peer port and starts to exchange heartbeats. The receiver delivers the
-    /// connections that peers open.
+    /// Opens the peer port and starts to exchange heartbeats. Connections opened by peers are
+    /// delivered by the receiver.
     pub async fn start(
         settings: &HostSettings,
         role: Role,
@@ -163,7 +163,7 @@
     fn count_malformed(&self, from: SocketAddr, error: &Error) {
         self.count_other_protocol(error);
         let dropped = self.malformed.fetch_add(1, Ordering::Relaxed);
-        if dropped.is_multiple_of(MALFORMED_LOG_INTERVAL) {
+        if dropped.is_multiple_of(MALFORMED_PER_LOG_LINE) {
             log::warn!(
                 "member: dropped a malformed datagram from {from}: {error}, {dropped} before"
             );
