--- a/src/control/rollout_controller.rs
+++ b/src/control/rollout_controller.rs
@@ -31,8 +31,7 @@
 const PUBLISH_EVERY_TICKS: u32 = 2;
 /// Milliseconds for which grants are valid: two publications in a row may be lost.
 const GRANT_VALID_MS: Millis = 600;
-/// Ticks between two log lines about a rollout whose fraction of requests does not
-/// change.
+/// Ticks between two log lines about a rollout whose fraction of requests does not change.
 const LOG_EVERY_TICKS: u32 = 10;
 /// Milliseconds by which the clocks of hosts may differ. The age of an order by the time of day
 /// is used only where it exceeds this, or for orders from before a restart.
@@ -263,7 +262,7 @@
     let (situation, progress) = (&evaluation.situation, active.progress());
     log::info!(
         "rollout: {version} of {service}, {:?}: {:?} after {} of {} ms; sent {} new, {} old; \
-         failed {} of {} new answers; share {} permille; evidence {:.2}: {}; \
+         failed {} of {} new answers; fraction {} permille; evidence {:.2}: {}; \
          endpoints {} new, {} old; old endpoints idle: {}",
         situation.stage,
         evaluation.decision,
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -79,7 +79,7 @@
 }
 
 impl ColdLimit {
-    /// Sets the limit for cold engines to 0: the placer may use their whole capacity.
+    /// Sets the limit for cold engines to 0: the placer may use their full capacity.
     pub fn reserved_for_placer(self, is_engine: bool) -> ColdLimit {
         let per_second = self.per_second.map(|rate| if is_engine { 0.0 } else { rate });
         ColdLimit { per_second, ..self }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -196,7 +196,7 @@
                 call.number,
                 endpoint.id
             );
-            // Idle connections may be dead too, and each would cost another request its whole
+            // Idle connections may be dead too, and each would cost another request its full
             // timeout: six of six requests in a test, and one when they are closed here.
             call.gateway.connections.close_idle(&endpoint.id);
             Err(Attempt::TimedOut)
