--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,4 +1,4 @@
-//! What tests of several slices share.
+//! Functions shared by the tests of several modules.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -18,26 +18,26 @@
 use crate::wire::{HostId, Role};
 
 const PEER_PORT: u16 = 7_400;
-const PAUSE: Duration = Duration::from_millis(20);
-/// What does not come in this time does not come at all.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a test waits for something that must happen before it fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The address of a host of a test; each test has numbers of its own. Other test runs
-/// on this machine do not use it.
-pub fn peer_address(last: u8) -> SocketAddr {
+/// The peer address of a host of a test. Each test uses its own values of `last_octet`; the
+/// third octet depends on the process id, so that concurrent test runs use other addresses.
+pub fn peer_address(last_octet: u8) -> SocketAddr {
     let net = (std::process::id() % 250 + 1) as u8;
-    (Ipv4Addr::new(127, 8, net, last), PEER_PORT).into()
+    (Ipv4Addr::new(127, 8, net, last_octet), PEER_PORT).into()
 }
 
-/// A host's place among its peers, over real sockets.
+/// Starts the peer connections of a host, over real sockets.
 pub async fn start_peers(
     role: Role,
-    last: u8,
+    last_octet: u8,
     seeds: Vec<SocketAddr>,
 ) -> (Arc<Peers>, mpsc::Receiver<Incoming>) {
-    let peer = peer_address(last);
+    let peer = peer_address(last_octet);
     let settings = HostSettings {
-        name: format!("host-{last}"),
+        name: format!("host-{last_octet}"),
         id: None,
         hall: "a".into(),
         peer,
@@ -50,13 +50,13 @@
     Peers::start(&settings, role, peer).await.unwrap()
 }
 
-/// What a control host publishes that leads: this routing and these endpoints.
+/// What a leading control host publishes, with this routing and these endpoints.
 pub fn publication_of_leader(
     peers: &Peers,
     documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
 ) -> Publication {
-    let leads = Leadership {
+    let leadership = Leadership {
         term: 1,
         leader: Some(peers.me),
         has_caught_up: true,
@@ -67,25 +67,25 @@
     Publication {
         subscriber: HostId(0),
         fleet_state: FleetState { documents, registry, ..FleetState::default() },
-        leadership: watch::Sender::new(leads).subscribe(),
+        leadership: watch::Sender::new(leadership).subscribe(),
         view: peers.watch(),
         numbering: peers.incarnation,
         subscribers: Arc::default(),
     }
 }
 
-/// Waits for something that must come about.
-pub async fn wait_until(is_so: impl Fn() -> bool) {
+/// Polls until `condition` holds; panics after [`WAIT_TIMEOUT`].
+pub async fn wait_until(condition: impl Fn() -> bool) {
     let waiting = async {
-        while !is_so() {
-            tokio::time::sleep(PAUSE).await;
+        while !condition() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(WAIT_TIMEOUT, waiting).await.expect("it comes about");
+    tokio::time::timeout(WAIT_TIMEOUT, waiting).await.expect("the condition does not hold in time");
 }
 
-/// A fixed seed, so that every run gives the same verdict. `PROPERTY_CASES` and
-/// `PROPERTY_SEED` explore further.
+/// Configuration of a property test with a fixed seed, so that every run has the same result.
+/// `PROPERTY_CASES` and `PROPERTY_SEED` override the number of cases and the seed.
 pub fn property(cases: u32) -> ProptestConfig {
     let read = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
     ProptestConfig {
@@ -96,7 +96,7 @@
     }
 }
 
-/// A repeatable route to the service `app`.
+/// A route of repeatable requests to the service `app`.
 pub fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.into(),
