--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The real binary's command line, without a fleet.
+//! Tests of the command line of the real binary, without a fleet.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -48,21 +48,21 @@
     std::fs::write(&path, "halls: [a]\ncustomers:\n  - {name: x, share: 0}\n").unwrap();
     let output = run(&["check", path.to_str().unwrap()]);
     assert!(!output.status.success());
-    let said = text(&output.stderr);
-    assert!(said.contains("customers.x.share") && said.contains("give at least 1"), "{said}");
+    let stderr = text(&output.stderr);
+    assert!(stderr.contains("customers.x.share") && stderr.contains("give at least 1"), "{stderr}");
     std::fs::write(&path, "halls: [a]\ncustmers: []\n").unwrap();
-    let said = text(&run(&["check", path.to_str().unwrap()]).stderr);
+    let stderr = text(&run(&["check", path.to_str().unwrap()]).stderr);
     for part in ["site.yaml", "line 2", "custmers", "customers"] {
-        assert!(said.contains(part), "{part} is missing: {said}");
+        assert!(stderr.contains(part), "{part} is missing: {stderr}");
     }
 }
 
 #[test]
 fn a_missing_file_or_host_is_named() {
-    let said = text(&run(&["router", "--settings", "no-such-file.yaml"]).stderr);
-    assert!(said.contains("no-such-file.yaml"), "{said}");
-    let said = text(&run(&["config", "get", "--to", "127.0.0.1:1"]).stderr);
-    assert!(said.contains("127.0.0.1:1"), "{said}");
+    let stderr = text(&run(&["router", "--settings", "no-such-file.yaml"]).stderr);
+    assert!(stderr.contains("no-such-file.yaml"), "{stderr}");
+    let stderr = text(&run(&["config", "get", "--to", "127.0.0.1:1"]).stderr);
+    assert!(stderr.contains("127.0.0.1:1"), "{stderr}");
 }
 
 #[test]
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios in `tests/features`, with real processes on loopback.
+//! Runs the scenarios in `tests/features` with real processes on loopback addresses.
 
 #[path = "scenarios/fleet.rs"]
 mod fleet;
@@ -9,13 +9,13 @@
 
 use cucumber::World;
 
-/// Scenarios that run at once; each starts a dozen processes.
-const AT_ONCE: usize = 3;
+/// Scenarios that run concurrently; each starts a dozen processes.
+const MAX_CONCURRENT_SCENARIOS: usize = 3;
 
 #[tokio::main]
 async fn main() {
     fleet::FleetWorld::cucumber()
-        .max_concurrent_scenarios(AT_ONCE)
+        .max_concurrent_scenarios(MAX_CONCURRENT_SCENARIOS)
         .fail_on_skipped()
         .run_and_exit("tests/features")
         .await;
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes.
+//! A fleet of real processes, and the state of a scenario that uses it.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -17,45 +17,45 @@
 use tempfile::TempDir;
 use tokio::task::JoinHandle;
 
-/// How long anything that must happen "within seconds" may take here; timings
-/// themselves are measured by the bench.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(100);
+/// How long anything that must happen may take in a scenario. Exact timings are measured by
+/// the benchmarks.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const FIRST_PORT: u16 = 2_000;
-const PORT_STEP: u16 = 1_000;
-const SLOTS: usize = 16;
+const PORTS_PER_RANGE: u16 = 1_000;
+const PORT_RANGES: usize = 16;
 
-static PORTS: Mutex<[bool; SLOTS]> = Mutex::new([false; SLOTS]);
+static PORT_RANGES_IN_USE: Mutex<[bool; PORT_RANGES]> = Mutex::new([false; PORT_RANGES]);
 
-/// A range of ports, given back when dropped.
+/// A range of ports, released when dropped.
 #[derive(Debug)]
-struct Ports(usize);
+struct PortRange(usize);
 
-impl Ports {
-    fn take() -> Ports {
-        let mut taken = PORTS.lock().unwrap();
-        let base = |slot: usize| FIRST_PORT + slot as u16 * PORT_STEP;
+impl PortRange {
+    fn reserve() -> PortRange {
+        let mut taken = PORT_RANGES_IN_USE.lock().unwrap();
+        let base = |slot: usize| FIRST_PORT + slot as u16 * PORTS_PER_RANGE;
         let free = |slot: &usize| {
             let callers = SocketAddr::from(([127, 0, 0, 1], base(*slot) + 100));
             !taken[*slot] && TcpListener::bind(callers).is_ok()
         };
-        let slot = (0..SLOTS).find(free).expect("no free range of ports");
+        let slot = (0..PORT_RANGES).find(free).expect("no free range of ports");
         taken[slot] = true;
-        Ports(slot)
+        PortRange(slot)
     }
 
     fn base(&self) -> u16 {
-        FIRST_PORT + self.0 as u16 * PORT_STEP
+        FIRST_PORT + self.0 as u16 * PORTS_PER_RANGE
     }
 }
 
-impl Drop for Ports {
+impl Drop for PortRange {
     fn drop(&mut self) {
-        PORTS.lock().unwrap()[self.0] = false;
+        PORT_RANGES_IN_USE.lock().unwrap()[self.0] = false;
     }
 }
 
-/// What one scenario works on.
+/// The state of one scenario.
 #[derive(Debug, Default, World)]
 pub struct FleetWorld {
     pub fleet: Option<Fleet>,
@@ -63,11 +63,11 @@
     pub report: Option<LoadReport>,
     pub replies: Vec<proto::ApplyReply>,
     pub answers: Vec<Answer>,
-    /// Engines that ended by themselves.
+    /// Number of engines that ended without being stopped.
     pub ended_engines: usize,
 }
 
-/// What a caller got.
+/// An answer to a caller.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
@@ -85,19 +85,19 @@
     }
 }
 
-/// Processes of one site.
+/// The processes of one site.
 #[derive(Debug)]
 pub struct Fleet {
     pub site: Site,
     pub folder: TempDir,
     processes: BTreeMap<String, Child>,
-    _ports: Ports,
+    _port_range: PortRange,
 }
 
 impl Fleet {
-    /// Starts everything and declares the configuration.
+    /// Starts all processes, applies the configuration and waits until routers are ready.
     pub async fn start(routers: u16, controls: u16, engines: u16, services: u16) -> Fleet {
-        let ports = Ports::take();
+        let ports = PortRange::reserve();
         let folder = TempDir::new().unwrap();
         let plan = SampleSite::Perak.plan(ports.base(), &folder.path().join("data"));
         let site = Site { routers, controls, engines, services, ..plan };
@@ -114,7 +114,7 @@
             service.slots = 4;
         }
         files.write(folder.path()).unwrap();
-        let mut fleet = Fleet { site, folder, processes: BTreeMap::new(), _ports: ports };
+        let mut fleet = Fleet { site, folder, processes: BTreeMap::new(), _port_range: ports };
         let mut names = vec!["platform".to_string()];
         names.extend((1..=engines).map(|n| format!("engine-{n}")));
         names.extend((1..=services).map(|n| format!("service-{n}")));
@@ -130,9 +130,9 @@
         fleet
     }
 
-    /// Starts the process with that name's settings, unless it runs.
+    /// Starts the process of that name with its settings, unless it is running.
     pub fn spawn(&mut self, name: &str) {
-        // A second one would outlive the scenario and meddle with the next.
+        // A second process would outlive the scenario and interfere with the next.
         if self.processes.contains_key(name) {
             return;
         }
@@ -169,7 +169,7 @@
         child.wait().unwrap();
     }
 
-    /// Starts engines that have ended by themselves again; returns their number.
+    /// Restarts engines that ended without being stopped; returns their number.
     pub fn start_ended_engines(&mut self) -> usize {
         let is_engine = |name: &str| name.starts_with("engine-");
         let engines = self.processes.iter_mut().filter(|(name, _)| is_engine(name));
@@ -185,24 +185,24 @@
         ended.len()
     }
 
-    pub fn freeze(&self, name: &str) {
+    pub fn pause(&self, name: &str) {
         self.signal(name, Signal::SIGSTOP);
     }
 
-    pub fn thaw(&self, name: &str) {
+    pub fn resume(&self, name: &str) {
         self.signal(name, Signal::SIGCONT);
     }
 
-    /// Begins a planned stop and waits for the end; says whether it was clean.
+    /// Stops a process with SIGTERM and waits for its end; returns whether it exited successfully.
     pub async fn stop(&mut self, name: &str) -> bool {
         self.signal(name, Signal::SIGTERM);
         let mut child = self.processes.remove(name).unwrap();
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < WAIT_TIMEOUT {
             if let Some(status) = child.try_wait().unwrap() {
                 return status.success();
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         child.kill().unwrap();
         child.wait().unwrap();
@@ -241,14 +241,14 @@
         .await;
     }
 
-    /// What a host says of itself; none when it does not answer.
+    /// The status of a host; `None` if it does not answer.
     pub async fn status(&self, operator: SocketAddr) -> Option<proto::StatusReply> {
         let mut client = connect(operator).await.ok()?;
         let reply = client.status(proto::StatusRequest {}).await.ok()?;
         Some(reply.into_inner())
     }
 
-    /// The control host, from 1, that leads by its own account and the highest term.
+    /// Number, from 1, of the control host that reports itself leader in the highest term.
     pub async fn leader(&self) -> u16 {
         let mut found = 0;
         until("a control host leads", async || {
@@ -270,7 +270,7 @@
         leaders.into_iter().max().map(|(_, n)| n)
     }
 
-    /// The router, from 1, that dispatches a service for most routers.
+    /// Number, from 1, of the router that dispatches a service for the most routers.
     pub async fn dispatcher(&self, service: &str) -> u16 {
         let mut found = 0;
         until("a router dispatches", async || {
@@ -296,7 +296,7 @@
         .await;
     }
 
-    /// Every host's operator port with its number and data hall.
+    /// Operator address, host id and data hall of every host.
     pub fn hosts(&self) -> Vec<(SocketAddr, u32, String)> {
         let routers = (0..self.site.routers).map(|n| self.site.router(n));
         let routers = routers.map(|r| (r.operator, r.host.host_id().0, r.host.hall));
@@ -305,7 +305,7 @@
         routers.chain(controls).collect()
     }
 
-    /// Everything that a process has written to its log.
+    /// The log of a process.
     pub fn log(&self, name: &str) -> String {
         let path = self.folder.path().join(format!("{name}.log"));
         std::fs::read_to_string(path).unwrap_or_default()
@@ -319,18 +319,18 @@
             println!("kept {}", self.folder.path().display());
         }
         for child in self.processes.values_mut() {
-            // Ended already, or ended here.
+            // Both fail if the process has ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// Waits until something holds; fails when it does not for long.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Polls until `condition` holds; panics after [`WAIT_TIMEOUT`].
+pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
-    while !holds().await {
-        assert!(start.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
-        tokio::time::sleep(POLL).await;
+    while !condition().await {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "not within {WAIT_TIMEOUT:?}: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/scenarios/loads.rs
+++ b/tests/scenarios/loads.rs
@@ -30,11 +30,11 @@
     }
 }
 
-/// A load by name.
+/// Returns the load of a name.
 pub fn load(site: &Site, name: &str, seconds: u64) -> LoadFile {
     let closed = Arrival::Closed;
     let customers = match name {
-        // Three customers that always want more, spread unevenly over routers.
+        // Three customers with a constant backlog, spread unevenly over routers.
         "uneven" => vec![
             chat(site, "harbour-agents", 4, closed(30), &[0]),
             chat(site, "truck-drivers", 2, closed(30), &[]),
@@ -50,13 +50,13 @@
             chat(site, "harbour-agents", 4, Arrival::Open(400.0), &[]),
             chat(site, "pilgrim-groups", 1, Arrival::Open(2.0), &[1]),
         ],
-        // Streams that last, and callers that mind when one is cut.
+        // Long streams, whose truncation is counted.
         "streams" => vec![LoadCustomer {
             output: Lengths { median: 800.0, sigma: 0.0, max: 800 },
             ..chat(site, "passenger-chat", 4, closed(8), &[])
         }],
         "light" => vec![chat(site, "pilgrim-groups", 1, closed(4), &[])],
-        other => panic!("no load is called {other}"),
+        other => panic!("unknown load {other}"),
     };
     LoadFile::for_site(name, site, seconds, customers)
 }
--- a/tests/scenarios/steps.rs
+++ b/tests/scenarios/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of the test language.
+//! Implementations of the steps in `tests/features`.
 
 use std::time::Duration;
 
@@ -18,18 +18,20 @@
 #[given(
     expr = "a fleet of {int} routers, {int} control hosts, {int} engines and {int} ticket services"
 )]
-async fn a_fleet(w: &mut FleetWorld, routers: u16, controls: u16, engines: u16, services: u16) {
-    w.fleet = Some(Fleet::start(routers, controls, engines, services).await);
+async fn a_fleet(world: &mut FleetWorld, routers: u16, controls: u16, engines: u16, services: u16) {
+    world.fleet = Some(Fleet::start(routers, controls, engines, services).await);
 }
 
-/// The process that a step names.
-async fn process(w: &mut FleetWorld, what: &str) -> String {
-    let plain = w.fleet().site.plain.clone();
-    let model = w.fleet().site.model.clone();
+/// Name of the process that a step refers to.
+async fn process(world: &mut FleetWorld, what: &str) -> String {
+    let plain = world.fleet().site.plain.clone();
+    let model = world.fleet().site.model.clone();
     match what {
-        "the control leader" => format!("control-{}", w.fleet().leader().await),
-        "the dispatcher of the model" => format!("router-{}", w.fleet().dispatcher(&model).await),
-        "the dispatcher of tickets" => format!("router-{}", w.fleet().dispatcher(&plain).await),
+        "the control leader" => format!("control-{}", world.fleet().leader().await),
+        "the dispatcher of the model" => {
+            format!("router-{}", world.fleet().dispatcher(&model).await)
+        }
+        "the dispatcher of tickets" => format!("router-{}", world.fleet().dispatcher(&plain).await),
         _ => {
             let (kind, number) = what.rsplit_once(' ').unwrap();
             let kind = match kind {
@@ -43,43 +45,43 @@
 }
 
 #[when(regex = r"^(.+) is (killed|frozen|thawed|started)$")]
-async fn something_happens(w: &mut FleetWorld, what: String, how: String) {
-    let name = process(w, &what).await;
-    let fleet = w.fleet();
+async fn process_changes(world: &mut FleetWorld, what: String, how: String) {
+    let name = process(world, &what).await;
+    let fleet = world.fleet();
     match how.as_str() {
         "killed" => fleet.kill(&name),
-        "frozen" => fleet.freeze(&name),
-        "thawed" => fleet.thaw(&name),
+        "frozen" => fleet.pause(&name),
+        "thawed" => fleet.resume(&name),
         _ => fleet.spawn(&name),
     }
 }
 
 #[when(regex = r"^(.+) is frozen for (\d+) seconds$")]
-async fn frozen_for(w: &mut FleetWorld, what: String, seconds: u64) {
-    let name = process(w, &what).await;
-    w.fleet().freeze(&name);
+async fn frozen_for(world: &mut FleetWorld, what: String, seconds: u64) {
+    let name = process(world, &what).await;
+    world.fleet().pause(&name);
     tokio::time::sleep(Duration::from_secs(seconds)).await;
-    w.fleet().thaw(&name);
+    world.fleet().resume(&name);
 }
 
 #[when(regex = r"^(.+) is killed and started again$")]
-async fn killed_and_started(w: &mut FleetWorld, what: String) {
-    let name = process(w, &what).await;
-    w.fleet().kill(&name);
-    w.fleet().spawn(&name);
+async fn killed_and_started(world: &mut FleetWorld, what: String) {
+    let name = process(world, &what).await;
+    world.fleet().kill(&name);
+    world.fleet().spawn(&name);
 }
 
 #[when(regex = r"^control host (\d+) loses its disk$")]
-async fn loses_disk(w: &mut FleetWorld, number: u16) {
+async fn loses_disk(world: &mut FleetWorld, number: u16) {
     let name = format!("control-{number}");
-    w.fleet().kill(&name);
-    w.fleet().lose_disk(number);
-    w.fleet().spawn(&name);
+    world.fleet().kill(&name);
+    world.fleet().lose_disk(number);
+    world.fleet().spawn(&name);
 }
 
 #[when(regex = r"^control host (\d+) is let in again$")]
-async fn let_in(w: &mut FleetWorld, number: u16) {
-    let fleet = w.fleet();
+async fn member_added(world: &mut FleetWorld, number: u16) {
+    let fleet = world.fleet();
     let host = fleet.site.control(number - 1).host.host_id().0;
     until("the leader lets the store in", async || {
         let leader = fleet.leader().await;
@@ -91,14 +93,14 @@
         let old_store = old.map(|m| m.store.clone()).unwrap_or_default();
         let request = proto::ReplaceControlRequest { host, old_store };
         let Ok(mut client) = connect(operator).await else { return false };
-        client.replace_control(request).await.is_ok_and(|r| r.into_inner().accepted)
+        client.replace_control(request).await.is_ok_and(|reply| reply.into_inner().accepted)
     })
     .await;
 }
 
 #[then(regex = r"^control host (\d+) counts in majorities (again|no more)$")]
-async fn counts(w: &mut FleetWorld, number: u16, how: String) {
-    let fleet = w.fleet();
+async fn is_voter(world: &mut FleetWorld, number: u16, how: String) {
+    let fleet = world.fleet();
     let own = fleet.site.control_operator(number - 1);
     until("the group's members are as expected", async || {
         let Some(own) = fleet.status(own).await.and_then(|s| s.group) else { return false };
@@ -112,14 +114,14 @@
 }
 
 #[when(regex = r"^(.+) is stopped as planned$")]
-async fn stopped(w: &mut FleetWorld, what: String) {
-    let name = process(w, &what).await;
-    assert!(w.fleet().stop(&name).await, "{name} did not stop cleanly");
+async fn stopped(world: &mut FleetWorld, what: String) {
+    let name = process(world, &what).await;
+    assert!(world.fleet().stop(&name).await, "{name} did not stop cleanly");
 }
 
 #[when(regex = r"^router (\d+) cannot send to router (\d+)$")]
-async fn one_sided(w: &mut FleetWorld, from: u16, to: u16) {
-    let fleet = w.fleet();
+async fn one_way_cut(world: &mut FleetWorld, from: u16, to: u16) {
+    let fleet = world.fleet();
     let (from, to) = (fleet.site.router(from - 1), fleet.site.router(to - 1));
     let cut_to = vec![to.host.host_id().0];
     let cut_from = vec![from.host.host_id().0];
@@ -128,8 +130,8 @@
 }
 
 #[when(regex = r"^data hall (\S+) is cut off$")]
-async fn hall_cut(w: &mut FleetWorld, hall: String) {
-    let fleet = w.fleet();
+async fn hall_cut(world: &mut FleetWorld, hall: String) {
+    let fleet = world.fleet();
     let hosts = fleet.hosts();
     for (operator, _, own) in &hosts {
         let inside = *own == hall;
@@ -146,8 +148,8 @@
 }
 
 #[when(regex = r"^(control host|router) (\d+) is cut off in silence$")]
-async fn host_cut(w: &mut FleetWorld, kind: String, number: u16) {
-    let fleet = w.fleet();
+async fn host_cut(world: &mut FleetWorld, kind: String, number: u16) {
+    let fleet = world.fleet();
     let own = match kind.as_str() {
         "router" => fleet.site.router_operator(number - 1),
         _ => fleet.site.control_operator(number - 1),
@@ -156,8 +158,8 @@
 }
 
 #[when("the control leader is cut off in silence")]
-async fn leader_cut(w: &mut FleetWorld) {
-    let fleet = w.fleet();
+async fn leader_cut(world: &mut FleetWorld) {
+    let fleet = world.fleet();
     let leader = fleet.leader().await;
     let own = fleet.site.control_operator(leader - 1);
     cut_off(fleet, own).await;
@@ -178,8 +180,8 @@
 }
 
 #[when("all links are mended")]
-async fn mended(w: &mut FleetWorld) {
-    let fleet = w.fleet();
+async fn links_restored(world: &mut FleetWorld) {
+    let fleet = world.fleet();
     for (operator, _, _) in fleet.hosts() {
         if fleet.status(operator).await.is_some() {
             fleet.rehearse(operator, proto::RehearseRequest::default()).await;
@@ -188,84 +190,95 @@
 }
 
 #[when(regex = r"^the (\w+) load runs for (\d+) seconds$")]
-async fn load_runs(w: &mut FleetWorld, name: String, seconds: u64) {
-    let file = loads::load(&w.fleet().site, &name, seconds);
-    w.load = Some(tokio::spawn(bramblecrank::load::run(file, |_, _| ())));
-    // Its warm-up, so that what follows meets requests in flight.
+async fn load_runs(world: &mut FleetWorld, name: String, seconds: u64) {
+    let file = loads::load(&world.fleet().site, &name, seconds);
+    world.load = Some(tokio::spawn(bramblecrank::load::run(file, |_, _| ())));
+    // Waits for the warm-up, so that the next steps happen while requests are in flight.
     tokio::time::sleep(Duration::from_secs(2)).await;
 }
 
 #[when("the load has ended")]
-async fn load_ended(w: &mut FleetWorld) {
-    let load = w.load.take().expect("no load runs");
+async fn load_ended(world: &mut FleetWorld) {
+    let load = world.load.take().expect("no load runs");
     let report = load.await.unwrap().unwrap();
     println!("{report}");
-    w.report = Some(report);
+    world.report = Some(report);
 }
 
 #[when(regex = r"^(\d+) seconds? pass(?:es)?$")]
-async fn pass(_: &mut FleetWorld, seconds: u64) {
+async fn wait(_: &mut FleetWorld, seconds: u64) {
     tokio::time::sleep(Duration::from_secs(seconds)).await;
 }
 
 #[then("no promise was broken")]
-async fn clean(w: &mut FleetWorld) {
-    let r = w.report.as_ref().unwrap();
-    let counts = [r.doubled, r.crossed, r.truncated, r.false_not_run, r.no_retry_after];
+async fn guarantees_kept(world: &mut FleetWorld) {
+    let report = world.report.as_ref().unwrap();
+    let counts = [
+        report.doubled,
+        report.crossed,
+        report.truncated,
+        report.false_not_run,
+        report.no_retry_after,
+    ];
     assert_eq!(counts, [0; 5], "doubled, crossed, truncated, false not run, no come-back time");
-    assert!(r.finished, "requests were left hanging");
+    assert!(report.finished, "requests were left hanging");
 }
 
 #[then("nothing was lost or cut")]
-async fn nothing_lost(w: &mut FleetWorld) {
-    let r = w.report.as_ref().unwrap();
-    assert_eq!([r.lost, r.broken, r.unknown], [0; 3], "lost, broken, unknown");
+async fn nothing_lost(world: &mut FleetWorld) {
+    let report = world.report.as_ref().unwrap();
+    assert_eq!([report.lost, report.broken, report.unknown], [0; 3], "lost, broken, unknown");
 }
 
 #[then("no stream was cut")]
-async fn no_stream_cut(w: &mut FleetWorld) {
-    let r = w.report.as_ref().unwrap();
-    assert_eq!([r.broken, r.truncated, r.crossed], [0; 3], "broken, truncated, crossed");
-    assert!(r.answered > 0);
+async fn no_stream_cut(world: &mut FleetWorld) {
+    let report = world.report.as_ref().unwrap();
+    assert_eq!(
+        [report.broken, report.truncated, report.crossed],
+        [0; 3],
+        "broken, truncated, crossed"
+    );
+    assert!(report.answered > 0);
 }
 
 #[then(regex = r"^at least (\d+) requests were answered$")]
-async fn answered(w: &mut FleetWorld, least: u64) {
-    let r = w.report.as_ref().unwrap();
-    assert!(r.answered >= least, "only {} answered", r.answered);
+async fn answered(world: &mut FleetWorld, min: u64) {
+    let report = world.report.as_ref().unwrap();
+    assert!(report.answered >= min, "only {} answered", report.answered);
 }
 
 #[then("the gap stayed within twice the largest request and what is in flight")]
-async fn gap_bounded(w: &mut FleetWorld) {
-    let slots = f64::from(w.fleet().site.engines) * 6.0;
-    let r = w.report.as_ref().unwrap();
-    assert!(r.gap.backlogged.len() >= 2, "only {:?} were backlogged", r.gap.backlogged);
-    // In flight: every slot and grant ahead, with a request of mean size.
-    let mean = r.customers.iter().map(|c| c.units).sum::<u64>() as f64 / r.answered.max(1) as f64;
-    let bound = 2.0 * r.largest_units as f64 + slots * mean;
-    assert!(r.gap.units <= bound, "gap {} above {bound}", r.gap.units);
+async fn gap_bounded(world: &mut FleetWorld) {
+    let slots = f64::from(world.fleet().site.engines) * 6.0;
+    let report = world.report.as_ref().unwrap();
+    assert!(report.gap.backlogged.len() >= 2, "only {:?} were backlogged", report.gap.backlogged);
+    // In flight: every slot and every grant ahead, each with a request of mean size.
+    let mean = report.customers.iter().map(|c| c.units).sum::<u64>() as f64
+        / report.answered.max(1) as f64;
+    let bound = 2.0 * report.largest_units as f64 + slots * mean;
+    assert!(report.gap.units <= bound, "gap {} above {bound}", report.gap.units);
 }
 
 #[then(regex = r"^customer (\S+) had at least (\d+) requests answered and (\d+) refused$")]
-async fn customer_served(w: &mut FleetWorld, name: String, least: u64, refused: u64) {
-    let r = w.report.as_ref().unwrap();
-    let customer = r.customers.iter().find(|c| c.name == name).unwrap();
-    assert!(customer.answered >= least, "only {} answered", customer.answered);
+async fn customer_served(world: &mut FleetWorld, name: String, min: u64, refused: u64) {
+    let report = world.report.as_ref().unwrap();
+    let customer = report.customers.iter().find(|c| c.name == name).unwrap();
+    assert!(customer.answered >= min, "only {} answered", customer.answered);
     assert_eq!(customer.refused, refused);
 }
 
 #[then(regex = r"^customer (\S+) was refused at least (\d+) times$")]
-async fn customer_refused(w: &mut FleetWorld, name: String, least: u64) {
-    let r = w.report.as_ref().unwrap();
-    let customer = r.customers.iter().find(|c| c.name == name).unwrap();
-    assert!(customer.refused >= least, "only {} refused", customer.refused);
+async fn customer_refused(world: &mut FleetWorld, name: String, min: u64) {
+    let report = world.report.as_ref().unwrap();
+    let customer = report.customers.iter().find(|c| c.name == name).unwrap();
+    assert!(customer.refused >= min, "only {} refused", customer.refused);
 }
 
 /// Sends one call through a router.
-async fn call(w: &mut FleetWorld, router: u16, request: Request<Body>) {
-    // The platform's balancer sends nothing to a router that is not ready.
-    w.fleet().wait_ready(router - 1).await;
-    let address = w.fleet().site.router_address(router - 1);
+async fn call(world: &mut FleetWorld, router: u16, request: Request<Body>) {
+    // Like the platform's balancer, sends nothing to a router that is not ready.
+    world.fleet().wait_ready(router - 1).await;
+    let address = world.fleet().site.router_address(router - 1);
     let mut request = request;
     let path = request.uri().to_string();
     *request.uri_mut() = format!("http://{address}{path}").parse().unwrap();
@@ -283,7 +296,7 @@
     let body = response.into_body().collect().await;
     answer.body =
         body.map(|b| String::from_utf8_lossy(&b.to_bytes()).into_owned()).unwrap_or_default();
-    w.answers.push(answer);
+    world.answers.push(answer);
 }
 
 fn post(path: &str, customer: &str, body: String) -> Request<Body> {
@@ -292,59 +305,65 @@
 }
 
 #[when(regex = r"^(\S+) buys seat (\S+) through router (\d+)$")]
-async fn buys(w: &mut FleetWorld, customer: String, seat: String, router: u16) {
-    let site = &w.fleet().site;
+async fn buys(world: &mut FleetWorld, customer: String, seat: String, router: u16) {
+    let site = &world.fleet().site;
     let path = format!("/{}{}/{seat}", site.plain, site.run_once_path);
     let mut request = post(&path, &customer, json!({"seat": seat}).to_string());
     request.headers_mut().insert(header::KEY, seat.parse().unwrap());
-    call(w, router, request).await;
+    call(world, router, request).await;
 }
 
 #[when(regex = r"^(\S+) chats through router (\d+) for (\d+) tokens$")]
-async fn chats(w: &mut FleetWorld, customer: String, router: u16, tokens: u32) {
-    let model = w.fleet().site.model.clone();
+async fn chats(world: &mut FleetWorld, customer: String, router: u16, tokens: u32) {
+    let model = world.fleet().site.model.clone();
     let body = json!({"model": model, "stream": true, "emulate": {"output_tokens": tokens},
         "messages": [{"role": "user", "content": "When does the ferry leave?"}]});
-    call(w, router, post("/v1/chat/completions", &customer, body.to_string())).await;
+    call(world, router, post("/v1/chat/completions", &customer, body.to_string())).await;
 }
 
-/// How long the fleet is given between two requests to learn what the first one did: what
-/// the users allow.
-const TO_LEARN: Duration = Duration::from_secs(3);
+/// Time between two requests in which the crash caused by the first must become known to all
+/// routers; users accept this delay.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 #[when(regex = r"^(\S+) asks what crashes engines through routers 1 and 2 by turns, (\d+) times$")]
-async fn asks_what_crashes(w: &mut FleetWorld, customer: String, times: u16) {
-    let model = w.fleet().site.model.clone();
+async fn asks_what_crashes(world: &mut FleetWorld, customer: String, times: u16) {
+    let model = world.fleet().site.model.clone();
     let body = json!({"model": model, "stream": true,
         "emulate": {"output_tokens": 1_000, "crash_after_ms": 50},
         "messages": [{"role": "user", "content": "What ends an engine?"}]});
     for turn in 0..times {
         let request = post("/v1/chat/completions", &customer, body.to_string());
-        call(w, turn % 2 + 1, request).await;
-        tokio::time::sleep(TO_LEARN).await;
-        w.ended_engines += w.fleet().start_ended_engines();
+        call(world, turn % 2 + 1, request).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
+        world.ended_engines += world.fleet().start_ended_engines();
     }
 }
 
 #[then(regex = r"^(\d+) engines have ended$")]
-async fn engines_have_ended(w: &mut FleetWorld, number: usize) {
-    w.ended_engines += w.fleet().start_ended_engines();
-    assert_eq!(w.ended_engines, number);
+async fn engines_have_ended(world: &mut FleetWorld, number: usize) {
+    world.ended_engines += world.fleet().start_ended_engines();
+    assert_eq!(world.ended_engines, number);
 }
 
 #[when(regex = r#"^(\S+) sends "(.*)" to (\S+) through router (\d+)$"#)]
-async fn sends(w: &mut FleetWorld, customer: String, body: String, path: String, router: u16) {
-    call(w, router, post(&path, &customer, body)).await;
+async fn sends(world: &mut FleetWorld, customer: String, body: String, path: String, router: u16) {
+    call(world, router, post(&path, &customer, body)).await;
 }
 
 #[when(regex = r"^(\S+) sends (\d+) bytes to (\S+) through router (\d+)$")]
-async fn sends_bytes(w: &mut FleetWorld, customer: String, size: usize, path: String, router: u16) {
-    call(w, router, post(&path, &customer, "x".repeat(size))).await;
+async fn sends_bytes(
+    world: &mut FleetWorld,
+    customer: String,
+    size: usize,
+    path: String,
+    router: u16,
+) {
+    call(world, router, post(&path, &customer, "x".repeat(size))).await;
 }
 
 #[then(regex = r"^the answer is (answered|not-run|running|unknown)$")]
-async fn outcome_is(w: &mut FleetWorld, outcome: String) {
-    let answer = w.answers.last().unwrap();
+async fn outcome_is(world: &mut FleetWorld, outcome: String) {
+    let answer = world.answers.last().unwrap();
     assert_eq!(answer.outcome, outcome, "{answer:?}");
     if outcome == "not-run" && answer.status >= 429 && answer.status != 431 {
         assert!(answer.retry_after.is_some(), "no time to come back: {answer:?}");
@@ -352,34 +371,34 @@
 }
 
 #[then(regex = r"^the answer has status (\d+)$")]
-async fn status_is(w: &mut FleetWorld, status: u16) {
-    let answer = w.answers.last().unwrap();
+async fn status_is(world: &mut FleetWorld, status: u16) {
+    let answer = world.answers.last().unwrap();
     assert_eq!(answer.status, status, "{answer:?}");
 }
 
 #[then(regex = r"^the reason is (\S+)$")]
-async fn reason_is(w: &mut FleetWorld, reason: String) {
-    let answer = w.answers.last().unwrap();
+async fn reason_is(world: &mut FleetWorld, reason: String) {
+    let answer = world.answers.last().unwrap();
     assert_eq!(answer.reason, reason, "{answer:?}");
 }
 
 #[then(regex = r"^the caller is told to come back in (\d+) to (\d+) seconds$")]
-async fn told_to_come_back(w: &mut FleetWorld, least: u64, most: u64) {
-    let answer = w.answers.last().unwrap();
-    let told = answer.retry_after.unwrap();
-    assert!((least..=most).contains(&told), "{answer:?}");
+async fn retry_after_is(world: &mut FleetWorld, min: u64, max: u64) {
+    let answer = world.answers.last().unwrap();
+    let retry_after = answer.retry_after.unwrap();
+    assert!((min..=max).contains(&retry_after), "{answer:?}");
 }
 
 #[then("the answer is the recorded one")]
-async fn recorded(w: &mut FleetWorld) {
-    let [.., first, last] = w.answers.as_slice() else { panic!("two answers are needed") };
+async fn recorded(world: &mut FleetWorld) {
+    let [.., first, last] = world.answers.as_slice() else { panic!("two answers are needed") };
     assert!(last.replayed, "{last:?}");
     assert_eq!(first.body, last.body);
 }
 
 #[then(regex = r"^the stream holds all (\d+) tokens and its end$")]
-async fn whole_stream(w: &mut FleetWorld, tokens: u32) {
-    let body = &w.answers.last().unwrap().body;
+async fn complete_stream(world: &mut FleetWorld, tokens: u32) {
+    let body = &world.answers.last().unwrap().body;
     let mut from = 0;
     for n in 0..tokens {
         let token = format!("t{n} ");
@@ -390,23 +409,23 @@
 }
 
 #[then("the stream ends with an explicit error")]
-async fn broken_stream(w: &mut FleetWorld) {
-    let body = &w.answers.last().unwrap().body;
+async fn stream_ends_with_error(world: &mut FleetWorld) {
+    let body = &world.answers.last().unwrap().body;
     assert!(body.contains("event: error") && !body.contains("[DONE]"), "{body}");
 }
 
 #[when(
     regex = r"^(engine|ticket service) (\d+) is told to (\w+) (\d+) requests?(?: after (\d+))?$"
 )]
-async fn told_fault(
-    w: &mut FleetWorld,
+async fn inject_fault(
+    world: &mut FleetWorld,
     kind: String,
     number: u16,
     fault: String,
     times: u32,
     amount: String,
 ) {
-    let site = &w.fleet().site;
+    let site = &world.fleet().site;
     let address = if kind == "engine" { site.engine(number - 1) } else { site.service(number - 1) };
     let amount: u64 = amount.parse().unwrap_or(0);
     let body = json!({"kind": fault, "times": times, "amount": amount}).to_string();
@@ -426,10 +445,10 @@
 }
 
 #[then(regex = r"^seat (\S+) was sold (\d+) times?$")]
-async fn sold(w: &mut FleetWorld, seat: String, times: u64) {
+async fn sold(world: &mut FleetWorld, seat: String, times: u64) {
     let mut runs = 0;
-    for n in 0..w.fleet().site.services {
-        let ledger = fetch(w.fleet().site.service(n), "/ledger").await;
+    for n in 0..world.fleet().site.services {
+        let ledger = fetch(world.fleet().site.service(n), "/ledger").await;
         let by_key = ledger["by_key"].as_object().unwrap();
         let mine = by_key.iter().filter(|(key, _)| key.ends_with(&format!("/{seat}")));
         runs += mine.map(|(_, count)| count.as_u64().unwrap()).sum::<u64>();
@@ -438,8 +457,8 @@
 }
 
 #[when(regex = r"^the platform says that engine (\d+) is (leaving|live)$")]
-async fn platform_says(w: &mut FleetWorld, engine: u16, state: String) {
-    let address = w.fleet().site.platform();
+async fn platform_state(world: &mut FleetWorld, engine: u16, state: String) {
+    let address = world.fleet().site.platform();
     let request = Request::put(format!("http://{address}/hosts/engine-{engine}"))
         .header("content-type", "application/json")
         .body(Body::from(json!(state).to_string()))
@@ -448,57 +467,57 @@
 }
 
 #[when(regex = r"^an operator drains engine (\d+)$")]
-async fn drains(w: &mut FleetWorld, engine: u16) {
+async fn drains(world: &mut FleetWorld, engine: u16) {
     let leaving = vec![proto::Leaving { endpoint: format!("engine-{engine}"), leaving: true }];
     let request =
         proto::ApplyRequest { operation: format!("drain-{engine}"), leaving, ..Default::default() };
-    let operators = w.fleet().operators();
+    let operators = world.fleet().operators();
     let reply = bramblecrank::operator::apply_document(&operators, request).await.unwrap();
     assert_eq!(reply.result(), Applied::Accepted);
 }
 
-async fn started(w: &mut FleetWorld, engine: u16) -> u64 {
-    let load = fetch(w.fleet().site.engine(engine - 1), "/load").await;
+async fn started(world: &mut FleetWorld, engine: u16) -> u64 {
+    let load = fetch(world.fleet().site.engine(engine - 1), "/load").await;
     load["started"].as_u64().unwrap()
 }
 
 #[then(regex = r"^engine (\d+) gets no new work while the others do$")]
-async fn no_new_work(w: &mut FleetWorld, engine: u16) {
-    let others: Vec<_> = (1..=w.fleet().site.engines).filter(|n| *n != engine).collect();
-    let before = started(w, engine).await;
+async fn no_new_work(world: &mut FleetWorld, engine: u16) {
+    let others: Vec<_> = (1..=world.fleet().site.engines).filter(|n| *n != engine).collect();
+    let before = started(world, engine).await;
     let mut others_before = 0;
     for n in &others {
-        others_before += started(w, *n).await;
+        others_before += started(world, *n).await;
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(started(w, engine).await, before, "a leaving endpoint got new work");
+    assert_eq!(started(world, engine).await, before, "a leaving endpoint got new work");
     let mut others_after = 0;
     for n in &others {
-        others_after += started(w, *n).await;
+        others_after += started(world, *n).await;
     }
     assert!(others_after > others_before, "nothing was served at all");
 }
 
 #[when(regex = r"^operator (\w+) declares customer (\S+)(?: on version (\d+))?$")]
-async fn declares(w: &mut FleetWorld, operation: String, customer: String, base: String) {
+async fn declares(world: &mut FleetWorld, operation: String, customer: String, base: String) {
     let document = format!("customers: [{{name: {customer}}}]");
-    let reply = w.fleet().apply(&operation, base.parse().ok(), &document).await;
-    w.replies.push(reply);
+    let reply = world.fleet().apply(&operation, base.parse().ok(), &document).await;
+    world.replies.push(reply);
 }
 
 #[when(regex = r"^(\d+) customers are declared one by one$")]
-async fn many_changes(w: &mut FleetWorld, count: u32) {
+async fn many_changes(world: &mut FleetWorld, count: u32) {
     for n in 0..count {
         let document = format!("customers: [{{name: extra-{n}}}]");
-        let reply = w.fleet().apply(&format!("extra-{n}"), None, &document).await;
+        let reply = world.fleet().apply(&format!("extra-{n}"), None, &document).await;
         assert_eq!(reply.result(), Applied::Accepted, "{reply:?}");
-        w.replies.push(reply);
+        world.replies.push(reply);
     }
 }
 
 #[when(regex = r"^(\d+) operators race on version (\d+)$")]
-async fn race(w: &mut FleetWorld, count: u32, base: u64) {
-    let fleet = w.fleet();
+async fn race(world: &mut FleetWorld, count: u32, base: u64) {
+    let fleet = world.fleet();
     let race = (0..count).map(|n| {
         let fleet = &*fleet;
         async move {
@@ -506,30 +525,32 @@
             fleet.apply(&format!("race-{n}"), Some(base), &document).await
         }
     });
-    w.replies = futures_util::future::join_all(race).await;
+    world.replies = futures_util::future::join_all(race).await;
 }
 
-/// The version that a control host answers a read with; none where it is not sure.
-async fn read_version(w: &mut FleetWorld, control: u16) -> Option<u64> {
-    let operator = w.fleet().site.control_operator(control - 1);
+/// The version that a control host returns for a read; `None` if it is not certain that it is
+/// the newest.
+async fn read_version(world: &mut FleetWorld, control: u16) -> Option<u64> {
+    let operator = world.fleet().site.control_operator(control - 1);
     let mut client = connect(operator).await.ok()?;
     let reply = client.get(proto::GetRequest {}).await.ok()?;
     Some(reply.into_inner().version)
 }
 
 #[then(regex = r"^control host (\d+) is not sure of the newest configuration$")]
-async fn not_sure(w: &mut FleetWorld, control: u16) {
-    // It answers other calls, so that a missing answer is not a missing process.
-    let operator = w.fleet().site.control_operator(control - 1);
-    until("the control host answers", async || w.fleet().status(operator).await.is_some()).await;
-    assert_eq!(read_version(w, control).await, None);
+async fn not_sure(world: &mut FleetWorld, control: u16) {
+    // The host must answer other calls, so that a failed read does not mean a missing process.
+    let operator = world.fleet().site.control_operator(control - 1);
+    until("the control host answers", async || world.fleet().status(operator).await.is_some())
+        .await;
+    assert_eq!(read_version(world, control).await, None);
 }
 
 #[then(
     regex = r"^every read at control host (\d+) is version (\d+) or not sure, until one is sure$"
 )]
-async fn reads_are_newest(w: &mut FleetWorld, control: u16, version: u64) {
-    until("a read is sure", async || match read_version(w, control).await {
+async fn reads_are_newest(world: &mut FleetWorld, control: u16, version: u64) {
+    until("a read is sure", async || match read_version(world, control).await {
         Some(read) => {
             assert_eq!(read, version, "an older version was read");
             true
@@ -540,45 +561,45 @@
 }
 
 #[then(regex = r"^one wins and the others are told that version (\d+) stands$")]
-async fn one_wins(w: &mut FleetWorld, version: u64) {
-    let won = w.replies.iter().filter(|r| r.result() == Applied::Accepted);
-    assert_eq!(won.count(), 1, "{:?}", w.replies);
-    for reply in &w.replies {
+async fn one_wins(world: &mut FleetWorld, version: u64) {
+    let won = world.replies.iter().filter(|reply| reply.result() == Applied::Accepted);
+    assert_eq!(won.count(), 1, "{:?}", world.replies);
+    for reply in &world.replies {
         assert_eq!(reply.version, version, "{reply:?}");
     }
 }
 
 #[then(regex = r"^the change is accepted as version (\d+)$")]
-async fn accepted(w: &mut FleetWorld, version: u64) {
-    let reply = w.replies.last().unwrap();
+async fn accepted(world: &mut FleetWorld, version: u64) {
+    let reply = world.replies.last().unwrap();
     assert_eq!((reply.result(), reply.version), (Applied::Accepted, version), "{reply:?}");
 }
 
 #[then(regex = r"^the change is refused because of (\S+)$")]
-async fn refused(w: &mut FleetWorld, field: String) {
-    let reply = w.replies.last().unwrap();
+async fn refused(world: &mut FleetWorld, field: String) {
+    let reply = world.replies.last().unwrap();
     assert_eq!(reply.result(), Applied::Refused);
     assert_eq!(reply.field, field);
     assert!(!reply.remedy.is_empty());
 }
 
 #[when(regex = r"^operator (\w+) applies: (.*)$")]
-async fn applies(w: &mut FleetWorld, operation: String, document: String) {
-    let reply = w.fleet().apply(&operation, None, &document).await;
-    w.replies.push(reply);
+async fn applies(world: &mut FleetWorld, operation: String, document: String) {
+    let reply = world.fleet().apply(&operation, None, &document).await;
+    world.replies.push(reply);
 }
 
 #[then(regex = r"^every router has version (\d+) in force$")]
-async fn in_force(w: &mut FleetWorld, version: u64) {
-    let fleet = w.fleet();
+async fn in_force(world: &mut FleetWorld, version: u64) {
+    let fleet = world.fleet();
     for n in 0..fleet.site.routers {
         in_force_at(fleet, n, version).await;
     }
 }
 
 #[then(regex = r"^router (\d+) has version (\d+) in force$")]
-async fn in_force_on(w: &mut FleetWorld, router: u16, version: u64) {
-    in_force_at(w.fleet(), router - 1, version).await;
+async fn in_force_on(world: &mut FleetWorld, router: u16, version: u64) {
+    in_force_at(world.fleet(), router - 1, version).await;
 }
 
 async fn in_force_at(fleet: &Fleet, router: u16, version: u64) {
@@ -590,8 +611,8 @@
 }
 
 #[then(regex = r"^router (\d+) says that it is (stale|current)$")]
-async fn stale(w: &mut FleetWorld, router: u16, how: String) {
-    let fleet = w.fleet();
+async fn stale(world: &mut FleetWorld, router: u16, how: String) {
+    let fleet = world.fleet();
     let operator = fleet.site.router_operator(router - 1);
     until("the router says so", async || {
         fleet.status(operator).await.is_some_and(|s| s.stale == (how == "stale"))
@@ -600,10 +621,10 @@
 }
 
 #[then("the request can be followed from admission to answer")]
-async fn explained(w: &mut FleetWorld) {
-    let trace = w.answers.last().unwrap().trace.clone();
-    let ask = w.fleet().site.router_operator(0);
-    let steps = bramblecrank::operator::explain(ask, &trace).await.unwrap();
+async fn explained(world: &mut FleetWorld) {
+    let trace = world.answers.last().unwrap().trace.clone();
+    let operator = world.fleet().site.router_operator(0);
+    let steps = bramblecrank::operator::explain(operator, &trace).await.unwrap();
     let parts: Vec<_> = steps.iter().map(|s| s.part.as_str()).collect();
     for part in ["admission", "dispatch", "delivery"] {
         assert!(parts.contains(&part), "{part} is missing: {steps:?}");
@@ -612,9 +633,9 @@
 }
 
 #[when(regex = r"^garbage is sent to the peer port of router (\d+)$")]
-async fn garbage(w: &mut FleetWorld, router: u16) {
+async fn garbage(world: &mut FleetWorld, router: u16) {
     use tokio::io::AsyncWriteExt;
-    let peer = w.fleet().site.router(router - 1).host.peer;
+    let peer = world.fleet().site.router(router - 1).host.peer;
     for frame in [&[0u8, 0, 0, 4, 255, 255, 255, 255][..], &[255; 64], b"GET / HTTP/1.1\r\n\r\n"] {
         let mut stream = tokio::net::TcpStream::connect(peer).await.unwrap();
         stream.write_all(frame).await.unwrap();
@@ -626,8 +647,8 @@
 }
 
 #[then(regex = r"^router (\d+) has logged (.+)$")]
-async fn logged(w: &mut FleetWorld, router: u16, text: String) {
-    let fleet = w.fleet();
+async fn logged(world: &mut FleetWorld, router: u16, text: String) {
+    let fleet = world.fleet();
     until("the log line is written", async || {
         fleet.log(&format!("router-{router}")).contains(&text)
     })
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! `docs/SETTINGS.md` names every field of the settings and the configuration.
+//! Checks that `docs/SETTINGS.md` documents every field of the settings and the configuration.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use bramblecrank::site::SampleSite;
 use serde_json::Value;
 
-/// Names of all fields in a value, at any depth.
+/// Appends the names of all fields in a value, at any depth.
 fn fields(value: &Value, names: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn every_field_stands_on_the_page() {
+fn every_field_is_documented() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/SETTINGS.md");
     let page = std::fs::read_to_string(page).unwrap();
     let files = SampleSite::Perak.plan(20_000, Path::new("data")).files();
@@ -58,7 +58,7 @@
     ] {
         fields(&value, &mut names);
     }
-    let left_out_by_default = [
+    let omitted_by_default = [
         "remove_customers",
         "remove_endpoints",
         "seed_port",
@@ -70,9 +70,12 @@
         "placement",
         "gateway",
     ];
-    names.extend(left_out_by_default.map(String::from));
+    names.extend(omitted_by_default.map(String::from));
     for name in names {
         let found = [format!("`{name}`"), format!(".{name}`"), format!("`{name}[]")];
-        assert!(found.iter().any(|f| page.contains(f)), "'{name}' is not on docs/SETTINGS.md");
+        assert!(
+            found.iter().any(|f| page.contains(f)),
+            "'{name}' is not documented in docs/SETTINGS.md"
+        );
     }
 }
