--- a/tests/starts/ways.rs
+++ b/tests/starts/ways.rs
@@ -114,7 +114,7 @@
         head: ResponseHead,
     ) {
         let notice = Notice {
-            leaves: head.leaves,
+            is_leaving: head.leaves,
             rest: head.rests_ms.map_or(RequestedRest::None, RequestedRest::For),
         };
         self.unattributed.record(now, start_address(sent_to), &notice);
