--- a/tests/rests/day.rs
+++ b/tests/rests/day.rs
@@ -163,8 +163,8 @@
         // Poisson arrivals in whole milliseconds; the fraction is rounded up at random.
         let gap =
             -self.rng.random::<f64>().max(1e-12).ln() * 1_000.0 / self.workload.requests_per_s;
-        let whole = gap as u64 + u64::from(self.rng.random::<f64>() < gap.fract());
-        self.schedule(whole, Event::Arrives);
+        let gap_ms = gap as u64 + u64::from(self.rng.random::<f64>() < gap.fract());
+        self.schedule(gap_ms, Event::Arrives);
         let request = self.tried.len();
         self.tried.push(Vec::new());
         self.results.requests += 1;
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -235,7 +235,7 @@
 
     pub async fn wait_ready(&self, router: u16) {
         let address = self.site.router_address(router);
-        until("a router takes requests", async || {
+        until("a router accepts requests", async || {
             tokio::net::TcpStream::connect(address).await.is_ok()
         })
         .await;
@@ -289,7 +289,7 @@
     }
 
     pub async fn rehearse(&self, operator: SocketAddr, request: proto::RehearseRequest) {
-        until("the host takes the rehearsal", async || {
+        until("the host accepts the rehearsal", async || {
             let Ok(mut client) = connect(operator).await else { return false };
             client.rehearse(request.clone()).await.is_ok_and(|r| r.into_inner().accepted)
         })
--- a/tests/scenarios/steps.rs
+++ b/tests/scenarios/steps.rs
@@ -83,7 +83,7 @@
 async fn member_added(world: &mut FleetWorld, number: u16) {
     let fleet = world.fleet();
     let host = fleet.site.control(number - 1).host.host_id().0;
-    until("the leader lets the store in", async || {
+    until("the leader adds the store", async || {
         let leader = fleet.leader().await;
         let operator = fleet.site.control_operator(leader - 1);
         let Some(group) = fleet.status(operator).await.and_then(|s| s.group) else {
@@ -221,7 +221,7 @@
         report.no_retry_after,
     ];
     assert_eq!(counts, [0; 5], "doubled, crossed, truncated, false not run, no come-back time");
-    assert!(report.finished, "requests were left hanging");
+    assert!(report.finished, "requests did not finish");
 }
 
 #[then("nothing was lost or cut")]
@@ -550,7 +550,7 @@
     regex = r"^every read at control host (\d+) is version (\d+) or not sure, until one is sure$"
 )]
 async fn reads_are_newest(world: &mut FleetWorld, control: u16, version: u64) {
-    until("a read is sure", async || match read_version(world, control).await {
+    until("a read is certain", async || match read_version(world, control).await {
         Some(read) => {
             assert_eq!(read, version, "an older version was read");
             true
@@ -614,7 +614,7 @@
 async fn stale(world: &mut FleetWorld, router: u16, how: String) {
     let fleet = world.fleet();
     let operator = fleet.site.router_operator(router - 1);
-    until("the router says so", async || {
+    until("the router reports it", async || {
         fleet.status(operator).await.is_some_and(|s| s.stale == (how == "stale"))
     })
     .await;
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -82,8 +82,8 @@
 
 #[test]
 fn an_incomplete_answer_is_caught() {
-    let part = Some((200, "answer to a".to_string(), false));
-    assert_eq!(violations_after(|h, _| h.calls[0].answer = part), 1);
+    let incomplete = Some((200, "answer to a".to_string(), false));
+    assert_eq!(violations_after(|h, _| h.calls[0].answer = incomplete), 1);
 }
 
 #[test]
--- a/tests/soak/crashers.rs
+++ b/tests/soak/crashers.rs
@@ -28,7 +28,7 @@
 pub struct CrashScenario {
     context: Context,
     rng: SmallRng,
-    live: Vec<Replica>,
+    running: Vec<Replica>,
     started: usize,
     sent: usize,
 }
@@ -36,7 +36,7 @@
 impl CrashScenario {
     pub fn new(context: Context, seed: u64) -> CrashScenario {
         let rng = SmallRng::seed_from_u64(seed);
-        CrashScenario { context, rng, live: Vec::new(), started: 0, sent: 0 }
+        CrashScenario { context, rng, running: Vec::new(), started: 0, sent: 0 }
     }
 
     /// Sends requests until the soak has finished.
@@ -52,19 +52,20 @@
     }
 
     fn crash_count(&self) -> usize {
-        self.started - self.live.iter().filter(|replica| !replica.has_crashed()).count()
+        self.started - self.running.iter().filter(|replica| !replica.has_crashed()).count()
     }
 
     /// Starts a new replica for each that has crashed, and registers all of them.
     async fn replace_crashed(&mut self) {
-        self.live.retain(|replica| !replica.has_crashed());
-        while self.live.len() < REPLICAS {
+        self.running.retain(|replica| !replica.has_crashed());
+        while self.running.len() < REPLICAS {
             let others = Box::new(Behaviour::Answer);
             let behaviour = Behaviour::CrashOn { body: CRASHING_BODY, after: CRASH_DELAY, others };
-            self.live.push(Replica::start(&format!("i-frail-{}", self.started), behaviour).await);
+            self.running
+                .push(Replica::start(&format!("i-frail-{}", self.started), behaviour).await);
             self.started += 1;
         }
-        for replica in &self.live {
+        for replica in &self.running {
             let (born, sequence) = (1, epoch_ms());
             let registration = Registration { version: "v1", state: "ready", born, sequence };
             // A registration without an answer is repeated in the next round.
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -193,10 +193,10 @@
 
     fn wrong_answers(&self) -> impl Iterator<Item = String> {
         self.calls.iter().filter_map(|call| {
-            let (status, body, whole) = call.answer.as_ref()?;
-            let right = *whole && *body == format!("answer to {}", call.id);
+            let (status, body, complete) = call.answer.as_ref()?;
+            let right = *complete && *body == format!("answer to {}", call.id);
             (*status == 200 && !right)
-                .then(|| format!("{} was answered with {body:?}, complete: {whole}", call.id))
+                .then(|| format!("{} was answered with {body:?}, complete: {complete}", call.id))
         })
     }
 
--- a/tests/starts/day.rs
+++ b/tests/starts/day.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// What the router knows about a start.
+/// A start as the router has recorded it.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownStart {
     pub number: u64,
--- a/tests/starts/ways.rs
+++ b/tests/starts/ways.rs
@@ -26,7 +26,7 @@
     Ask,
 }
 
-/// Whether a router may send requests to the start that it knows.
+/// Whether a router may send requests to the known start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
     Send,
