--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -15,16 +15,16 @@
     pub region: &'a str,
     /// The release of its software.
     pub version: &'a str,
-    /// Its place in an order that every host computes alike: [`order_of`] its id.
+    /// Its position in an order that every host computes alike: [`order_of`] its id.
     pub order: u32,
 }
 
-/// The place of an endpoint in an order that every host computes alike from the id.
+/// The position of an endpoint in an order that every host computes alike from the id.
 pub fn order_of(id: &str) -> u32 {
     (xxh3_64(id.as_bytes()) >> 32) as u32
 }
 
-/// Which releases of a service may run a request during a roll-out.
+/// Which releases of a service may run a request during a rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VersionRule {
     /// All releases.
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -26,6 +26,7 @@
 /// Delay in milliseconds that is added to the latest start of requests beyond their customer's
 /// share. Longer than any objective, so that they queue behind all requests within a share.
 const ABOVE_SHARE_DELAY_MS: f64 = 60_000.0;
+
 /// An engine in the placer's model.
 #[derive(Clone, Debug)]
 pub struct Engine {
@@ -42,7 +43,7 @@
     pub version: String,
     /// The region of its data hall.
     pub region: String,
-    /// Its position in a roll-out, from [`order_of`] its id.
+    /// Its position in the order of a rollout, from [`order_of`] its id.
     order: u32,
     /// The requests sent to it, and its learned reading rate.
     pub model: EngineModel,
--- a/src/placement/cold_limiter.rs
+++ b/src/placement/cold_limiter.rs
@@ -1,10 +1,9 @@
 //! Limits the requests sent to cold engines.
 //!
-//! An engine that has just started, or whose data hall has just been taken back into service, can
-//! handle a few requests per second and fails under more. Without a limit it would receive the load
-//! of a returning hall while all other engines are busy, because every request finds its engines
-//! idle. All requests of the last second are counted, including those sent before the engine turned
-//! cold.
+//! An engine that has just started, or whose data hall has just been restored, can handle a few
+//! requests per second and fails under more. Without a limit the engines of a restored hall would
+//! be sent every request while all others are busy, because they are idle. All requests of the last
+//! second are counted, including those sent before the engine turned cold.
 
 use std::collections::VecDeque;
 
@@ -22,7 +21,7 @@
 ///
 /// The capacity of a cold engine is shared by all placers, which do not exchange what they send. So
 /// only the leader's placer sends to cold engines, and only after the requests of the previous
-/// leader's placer have left the window; all others send them nothing.
+/// leader's placer have left the window; all others send cold engines nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdSendPermit {
     /// The term in which the placer's host leads, and since when.
@@ -38,7 +37,7 @@
     }
 
     /// Fraction of cold engines' capacity that the placer may use.
-    pub fn part(&self, now: Millis) -> f64 {
+    pub fn fraction(&self, now: Millis) -> f64 {
         let may = self.leads.is_some_and(|(_, since)| now >= since + TAKE_OVER_MS);
         if may { 1.0 } else { 0.0 }
     }
@@ -67,15 +66,16 @@
         }
     }
 
-    /// Whether a placer that may use `part` of its capacity must send it nothing more now.
-    pub fn is_exhausted(&self, now: Millis, part: f64) -> bool {
-        self.next_at(now, part).is_some_and(|at| at > now)
+    /// Whether a placer that may use this fraction of its capacity must send it nothing more now.
+    pub fn is_exhausted(&self, now: Millis, fraction: f64) -> bool {
+        self.next_at(now, fraction).is_some_and(|at| at > now)
     }
 
-    /// When it may be sent the next request: `None` if nothing limits it, and the end of its cold
-    /// phase if this placer may send nothing before.
-    pub fn next_at(&self, now: Millis, part: f64) -> Option<Millis> {
-        let per_second = self.per_second.filter(|_| now < self.cold_until)? * part;
+    /// When a placer that may use this fraction of its capacity may send it the next request:
+    /// `None` if nothing limits it, and the end of its cold phase if the placer may send nothing
+    /// before.
+    pub fn next_at(&self, now: Millis, fraction: f64) -> Option<Millis> {
+        let per_second = self.per_second.filter(|_| now < self.cold_until)? * fraction;
         if per_second <= 0.0 {
             return Some(self.cold_until);
         }
--- a/src/placement/engine.rs
+++ b/src/placement/engine.rs
@@ -19,7 +19,7 @@
 const RATE_DECAY: f64 = 0.97;
 /// Weight of the newest observation in an engine's lateness: an average over about five prompts.
 const LATENESS_WEIGHT: f64 = 0.2;
-/// Half-life of an engine's lateness in milliseconds, so that it is tried again within an
+/// Half-life of an engine's lateness in milliseconds, so that it is used again within an
 /// objective. Without this decay an engine that was late once stayed unused.
 const LATENESS_HALF_LIFE_MS: f64 = 200.0;
 /// Lateness in milliseconds below which it counts as none.
@@ -130,16 +130,16 @@
         ReadingProfile { rate, tokens_per_event: self.tokens_per_event, piece_tokens }
     }
 
-    /// Its streams without a pause longer than promised.
+    /// Its streams without a pause longer than their objective.
     pub fn streams(&self) -> &Streams {
         &self.streams
     }
 
-    /// Adds a stream that was promised pauses of at most `promised_ms`; reading its own prompt
-    /// causes a pause of `pause_ms` for the streams already here.
-    pub fn add_stream(&mut self, key: RequestKey, promised_ms: u32, pause_ms: f64) {
+    /// Adds a stream whose pauses should last at most `objective_ms`; reading its own prompt causes
+    /// a pause of `pause_ms` for the streams already here.
+    pub fn add_stream(&mut self, key: RequestKey, objective_ms: u32, pause_ms: f64) {
         self.streams.record_pause(pause_ms);
-        self.streams.add(key, promised_ms);
+        self.streams.add(key, objective_ms);
     }
 
     /// Sets the fraction of its time that may be spent on reading from now on.
--- a/src/placement/engines.rs
+++ b/src/placement/engines.rs
@@ -7,8 +7,8 @@
 /// Initial reading rate of an engine in tokens per millisecond if the fleet's nominal rate is not
 /// known.
 const DEFAULT_RATE: f64 = 30.0;
-/// Ratio of the tokens that an engine reads to its part of the fleet's nominal tokens, which count
-/// all tokens of prompts, including those kept in caches.
+/// Ratio of the tokens that an engine reads to its fraction of the fleet's nominal tokens, which
+/// count all tokens of prompts, including those kept in caches.
 const RATE_OVER_NOMINAL: f64 = 1.3;
 
 /// An engine as described by its registration and the routing.
--- a/src/placement/local.rs
+++ b/src/placement/local.rs
@@ -1,7 +1,7 @@
 //! A router's own placer, used while the router reaches no control host.
 //!
-//! It has only this router's requests, so it plans with this router's part of the engines' time and
-//! a little more, since other routers may be idle.
+//! It receives only this router's requests, so it plans with an equal fraction of the engines' time
+//! for each router, and a little more, since other routers may be idle.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -16,7 +16,7 @@
 use crate::routing::CurrentRouting;
 use crate::wire::HostId;
 
-/// Multiple of an equal part of the engines' time that a router plans with while it decides by
+/// Multiple of an equal fraction of the engines' time that a router plans with while it decides by
 /// itself.
 const LOCAL_SHARE_FACTOR: f64 = 1.5;
 
@@ -51,11 +51,11 @@
         let Some(routing) = self.routing.current() else { return FromPlacer::Unknown { seq } };
         let engines = self.registry.read(|registry| engines_of(&routing, registry, &self.regions));
         let defaults = PlacementRules::default();
-        let part = (LOCAL_SHARE_FACTOR / routers.max(1) as f64).min(1.0);
-        // A router does not know what others send to a cold engine, so it sends cold engines
+        let fraction = (LOCAL_SHARE_FACTOR / routers.max(1) as f64).min(1.0);
+        // A router has no record of what others send to a cold engine, so it sends cold engines
         // nothing.
         let rules = PlacementRules {
-            reading_share: defaults.reading_share * part,
+            reading_share: defaults.reading_share * fraction,
             cold_part: 0.0,
             ..defaults
         };
--- a/src/placement/pauses.rs
+++ b/src/placement/pauses.rs
@@ -2,8 +2,8 @@
 //!
 //! An engine reads a prompt in pieces, one before each step of the running requests, and a piece
 //! takes longer the more of the prompt has been read. An event of a stream takes several steps, so
-//! prompts above some length delay the events of every stream at the engine beyond what callers
-//! were promised. Times to first events do not show this.
+//! prompts above some length delay the events of every stream at the engine beyond their
+//! pause objectives. Times to first events do not show this.
 //!
 //! The load behind this module: prompts that are long enough to do so, among streams of one or two
 //! seconds. Placed by earliest first event, they made 22 in 100 of the shorter streams late on 140
@@ -17,12 +17,12 @@
 const STEP_MS: f64 = 5.0;
 /// Cost in units from which on a prompt is used to learn how long pieces take. In shorter prompts
 /// the fixed part of the time to a first event hides it; rates learned from those would allow
-/// pauses longer than promised.
+/// pauses longer than the objective.
 pub const LONG_READING_UNITS: f64 = 8_192.0;
-/// Fraction of a promised pause above which a predicted pause counts as too long. The rest is left
+/// Fraction of a pause objective above which a predicted pause counts as too long. The rest is left
 /// for effects that are not modelled, such as prompts read back to back and the network path to the
 /// caller.
-const PROMISE_FRACTION: f64 = 0.75;
+const OBJECTIVE_FRACTION: f64 = 0.75;
 
 /// Parameters of how an engine reads long prompts.
 #[derive(Clone, Copy, Debug)]
@@ -45,23 +45,23 @@
     }
 }
 
-/// Whether a pause of `pause_ms` is too long for a stream that was promised `promised_ms`; 0
-/// promises nothing.
-pub fn exceeds_promise(pause_ms: f64, promised_ms: u32) -> bool {
-    promised_ms > 0 && pause_ms > f64::from(promised_ms) * PROMISE_FRACTION
+/// Whether a pause of `pause_ms` is too long for a stream with a pause objective of `objective_ms`;
+/// 0 for no objective.
+pub fn exceeds_objective(pause_ms: f64, objective_ms: u32) -> bool {
+    objective_ms > 0 && pause_ms > f64::from(objective_ms) * OBJECTIVE_FRACTION
 }
 
-/// The streams of an engine without a pause longer than promised.
+/// The streams of an engine without a pause longer than their objective.
 #[derive(Clone, Debug, Default)]
 pub struct Streams {
     in_time: Vec<(RequestKey, u32)>,
 }
 
 impl Streams {
-    /// Adds a stream that was promised pauses of at most `promised_ms`; 0 for no promise.
-    pub fn add(&mut self, key: RequestKey, promised_ms: u32) {
-        if promised_ms > 0 {
-            self.in_time.push((key, promised_ms));
+    /// Adds a stream whose pauses should last at most `objective_ms`; 0 for no objective.
+    pub fn add(&mut self, key: RequestKey, objective_ms: u32) {
+        if objective_ms > 0 {
+            self.in_time.push((key, objective_ms));
         }
     }
 
@@ -74,12 +74,12 @@
 
     /// Number of streams for which a pause would be too long.
     pub fn count_exceeded(&self, pause_ms: f64) -> usize {
-        self.in_time.iter().filter(|(_, promised)| exceeds_promise(pause_ms, *promised)).count()
+        self.in_time.iter().filter(|(_, objective)| exceeds_objective(pause_ms, *objective)).count()
     }
 
     /// Records a pause. Streams for which it is too long are late already and are no longer
     /// counted.
     pub fn record_pause(&mut self, pause_ms: f64) {
-        self.in_time.retain(|(_, promised)| !exceeds_promise(pause_ms, *promised));
+        self.in_time.retain(|(_, objective)| !exceeds_objective(pause_ms, *objective));
     }
 }
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -153,8 +153,8 @@
     }
 
     /// Sets the fraction of cold engines' capacity that this placer may use.
-    pub fn set_cold_part(&mut self, part: f64) {
-        self.rules.cold_part = part;
+    pub fn set_cold_part(&mut self, fraction: f64) {
+        self.rules.cold_part = fraction;
     }
 
     /// Sets the nominal capacity of all engines in units of service per second; 0 if it is not
--- a/src/placement/records.rs
+++ b/src/placement/records.rs
@@ -1,8 +1,9 @@
 //! A router's records of its own placements.
 //!
-//! A placer that takes over knows neither the prompts that engines have still to read nor the parts
-//! that they keep. Each router sends it a snapshot of its own requests before its first query, so
-//! that no prompt is read again that an engine keeps, and no busy engine is taken for idle.
+//! A placer that takes over has no record of the prompts that engines have still to read, nor of
+//! the parts that they keep. Each router sends it a snapshot of its own requests before its first
+//! query, so that no prompt is read again that an engine keeps, and no busy engine is taken for
+//! idle.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,9 +11,9 @@
 use crate::dispatch::Millis;
 use crate::wire::HostId;
 
-/// Maximum number of remembered prompt prefixes; the least recently used is evicted.
+/// Maximum number of recorded prompt prefixes; the least recently used is evicted.
 const MAX_KEPT_PREFIXES: usize = 256;
-/// Maximum number of remembered rests: more than a fleet has engines.
+/// Maximum number of recorded rests: more than a fleet has engines.
 const MAX_RESTS: usize = 2_048;
 
 /// A placer that was sent an open request.
--- a/src/placement/rules.rs
+++ b/src/placement/rules.rs
@@ -40,7 +40,7 @@
     /// size). The default is a common setting of engines.
     pub piece_tokens: u32,
     /// Cost, in milliseconds of waiting, of each stream whose pauses a prompt would extend beyond
-    /// what its caller was promised.
+    /// their objective.
     pub late_stream_cost_ms: f64,
 }
 
--- a/src/placement/server.rs
+++ b/src/placement/server.rs
@@ -143,7 +143,7 @@
     /// Updates the fraction of cold engines' capacity that this placer may use.
     fn update_cold_part(&mut self, now: Millis) {
         self.cold_send_permit.set_leading_term(now, (self.leading_term)());
-        self.placer.set_cold_part(self.cold_part * self.cold_send_permit.part(now));
+        self.placer.set_cold_part(self.cold_part * self.cold_send_permit.fraction(now));
     }
 
     fn refresh_engines(&mut self) {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -175,43 +175,43 @@
 #[test]
 fn kept_parts_are_copied_rather_than_read_again() {
     let mut placer = placer(&["a", "b"]);
-    let home = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
+    let keeper = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     serve(&mut placer, 300, 1);
-    // The home has much to read.
+    // The engine that keeps the part has much to read.
     for seq in 2..6 {
         let PlacementRequest { parts, .. } = request(seq, "x", 7, 9_000);
         let big = PlacementRequest { parts, objective_ms: 5_000, ..request(seq, "x", 7, 9_000) };
-        place(&mut placer, 1_000, PlacementRequest { avoid: other_than(&home), ..big });
+        place(&mut placer, 1_000, PlacementRequest { avoid: other_than(&keeper), ..big });
     }
     match place(&mut placer, 1_000, request(10, "x", 7, 500)) {
         FromPlacer::Go { endpoint, copy_from, .. } => {
-            assert_ne!(endpoint, home);
-            assert_eq!(copy_from.as_deref(), Some(home.as_str()));
+            assert_ne!(endpoint, keeper);
+            assert_eq!(copy_from.as_deref(), Some(keeper.as_str()));
         }
         other => panic!("{other:?}"),
     }
 }
 
-fn other_than(home: &str) -> Vec<String> {
-    ["a", "b"].iter().filter(|id| **id != home).map(|id| id.to_string()).collect()
+fn other_than(engine: &str) -> Vec<String> {
+    ["a", "b"].iter().filter(|id| **id != engine).map(|id| id.to_string()).collect()
 }
 
 #[test]
 fn a_failing_engine_is_excluded_for_a_while() {
     let mut placer = placer(&["a", "b"]);
-    let home = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
+    let keeper = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     placer.receive(1, ROUTER, ToPlacer::Done { seq: 1, completion: Completion::Failed });
     let again = request(2, "x", 7, 500);
-    place(&mut placer, 1, PlacementRequest { avoid: other_than(&home), ..again });
+    place(&mut placer, 1, PlacementRequest { avoid: other_than(&keeper), ..again });
     placer.receive(2, ROUTER, ToPlacer::Done { seq: 2, completion: Completion::Failed });
-    assert_ne!(endpoint(place(&mut placer, 3, request(3, "x", 7, 500))), home);
+    assert_ne!(endpoint(place(&mut placer, 3, request(3, "x", 7, 500))), keeper);
 }
 
 #[test]
 fn an_engine_that_leaves_gets_no_new_requests() {
     let mut placer = placer(&["a", "b"]);
-    let home = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
-    let left = other_than(&home);
+    let keeper = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
+    let left = other_than(&keeper);
     placer.set_engines(0, left.iter().map(|id| engine(id)).collect());
     assert_eq!(endpoint(place(&mut placer, 1, request(2, "x", 7, 500))), left[0]);
     placer.set_engines(0, vec![]);
@@ -296,7 +296,7 @@
     #![proptest_config(crate::testing::property(64))]
 
     /// Once every request has ended, an engine accepts requests again, whatever happened before: no
-    /// placed request holds capacity for ever.
+    /// placed request holds capacity forever.
     #[test]
     fn every_placed_request_is_released(steps in proptest::collection::vec(step(), 0..80)) {
         let mut placer = placer(&["a", "b"]);
@@ -335,12 +335,12 @@
     let mut records = PlacementRecords::default();
     let mut first = placer(&["a", "b", "c"]);
     let kept = request(1, "x", 7, 500);
-    let home = endpoint(place(&mut first, 0, kept.clone()));
-    records.record_placement(&kept, at(&home), PlacerId::Host(HostId(8)));
+    let keeper = endpoint(place(&mut first, 0, kept.clone()));
+    records.record_placement(&kept, at(&keeper), PlacerId::Host(HostId(8)));
     assert_eq!(records.record_first_event(1), [PlacerId::Host(HostId(8))]);
     records.record_end(1);
     let waiting = request(2, "x", 9, 30_000);
-    let busy = if home == "a" { "b" } else { "a" };
+    let busy = if keeper == "a" { "b" } else { "a" };
     records.record_placement(&waiting, at(busy), PlacerId::Host(HostId(8)));
 
     let mut second = placer(&["a", "b", "c"]);
@@ -349,7 +349,7 @@
     let next = decide(&mut second, 0, request(3, "x", 7, 500));
     assert_eq!(
         next.answer,
-        FromPlacer::Go { seq: 3, endpoint: home, started_at_ms: 0, copy_from: None }
+        FromPlacer::Go { seq: 3, endpoint: keeper, started_at_ms: 0, copy_from: None }
     );
     assert!(next.own_ms < 100.0, "10,000 shared tokens are kept there: {} ms", next.own_ms);
     let alone = PlacementRequest {
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_router_remembers_a_bounded_number_of_prompt_parts() {
+fn a_router_records_a_bounded_number_of_prompt_parts() {
     let mut records = PlacementRecords::default();
     for seq in 1..2_000 {
         records.record_placement(&request(seq, "x", seq, 500), at("a"), PlacerId::Local);
--- a/src/placement/tests/pauses.rs
+++ b/src/placement/tests/pauses.rs
@@ -4,12 +4,12 @@
 
 use super::*;
 use crate::placement::engine::RequestKey;
-use crate::placement::pauses::{ReadingProfile, Streams, exceeds_promise};
+use crate::placement::pauses::{ReadingProfile, Streams, exceeds_objective};
 
 const PROFILE: ReadingProfile =
     ReadingProfile { rate: 64.0, tokens_per_event: 8, piece_tokens: 2_048 };
-/// The longest pause promised to callers, in milliseconds.
-const PROMISED_MS: u32 = 400;
+/// Pause objective of the streams, in milliseconds.
+const PAUSE_OBJECTIVE_MS: u32 = 400;
 
 /// A placer of engines with eight tokens in an event of a stream.
 fn placer(ids: &[&str]) -> Placer {
@@ -32,20 +32,23 @@
     // Tokens read before the last pieces count as context only.
     let longer = PROFILE.longest_pause_ms(0, 16 * 2_048);
     assert!(longer > event && longer < 1.5 * event, "{event} {longer}");
-    // So do kept tokens.
+    // Kept tokens count as context only as well.
     assert!(PROFILE.longest_pause_ms(16 * 2_048, 600) < 2.0 * short);
     assert!((PROFILE.longest_pause_ms(8 * 2_048, 8 * 2_048) - longer).abs() < 1.0);
-    assert!(!exceeds_promise(short, PROMISED_MS) && exceeds_promise(longer, PROMISED_MS));
-    assert!(!exceeds_promise(longer, 0), "a stream without a promise cannot be late");
+    assert!(
+        !exceeds_objective(short, PAUSE_OBJECTIVE_MS)
+            && exceeds_objective(longer, PAUSE_OBJECTIVE_MS)
+    );
+    assert!(!exceeds_objective(longer, 0), "a stream without an objective cannot be late");
 }
 
 #[test]
 fn a_late_stream_is_no_longer_counted() {
     let mut streams = Streams::default();
-    streams.add(key(1), PROMISED_MS);
-    streams.add(key(2), 2 * PROMISED_MS);
+    streams.add(key(1), PAUSE_OBJECTIVE_MS);
+    streams.add(key(2), 2 * PAUSE_OBJECTIVE_MS);
     streams.add(key(3), 0);
-    streams.add(key(4), PROMISED_MS);
+    streams.add(key(4), PAUSE_OBJECTIVE_MS);
     streams.remove(key(4));
     assert_eq!(streams.count_exceeded(500.0), 1);
     assert_eq!(streams.count_exceeded(5_000.0), 2);
@@ -115,8 +118,8 @@
     }
 }
 
-/// Sixteen engines, ten short prompts and one long one per second, of two kinds.
-fn play(pause_ms: u32) -> Fleet {
+/// Simulates sixteen engines that get ten short prompts and one long one per second.
+fn simulate(pause_ms: u32) -> Fleet {
     let ids: Vec<String> = (0..16).map(|n| format!("engine-{n}")).collect();
     let mut placer = placer(&ids.iter().map(String::as_str).collect::<Vec<_>>());
     let mut fleet = Fleet::default();
@@ -137,7 +140,7 @@
 
 #[test]
 fn streams_keep_their_pauses_beside_long_prompts_that_are_all_read() {
-    let (before, now) = (play(0), play(PROMISED_MS));
+    let (before, now) = (simulate(0), simulate(PAUSE_OBJECTIVE_MS));
     assert!(before.late.len() > 40, "the load makes streams late: {}", before.late.len());
     assert!(now.late.len() * 5 < before.late.len(), "{} {}", before.late.len(), now.late.len());
     // Shared parts are still found where they are kept.
@@ -149,22 +152,22 @@
     let mut placer = placer(&["a", "b"]);
     for seq in 1..9 {
         let mut asked = request(seq, "x", 1, 600);
-        asked.pause_objective_ms = PROMISED_MS;
+        asked.pause_objective_ms = PAUSE_OBJECTIVE_MS;
         endpoint(place(&mut placer, seq * 1_000, asked));
         placer.receive(seq * 1_000 + 500, ROUTER, ToPlacer::FirstEvent { seq });
     }
     for seq in 10..14 {
         let mut long = request(seq, "x", 1, 20_000);
-        (long.pause_objective_ms, long.objective_ms) = (PROMISED_MS, 2_000);
+        (long.pause_objective_ms, long.objective_ms) = (PAUSE_OBJECTIVE_MS, 2_000);
         endpoint(place(&mut placer, seq * 1_000, long));
         serve(&mut placer, seq * 1_000 + 700, seq);
     }
 }
 
 #[test]
-fn a_new_placer_gets_the_promises_of_running_streams() {
+fn a_new_placer_gets_the_pause_objectives_of_running_streams() {
     let mut asked = request(1, "x", 1, 600);
-    asked.pause_objective_ms = PROMISED_MS;
+    asked.pause_objective_ms = PAUSE_OBJECTIVE_MS;
     let mut records = PlacementRecords::default();
     records.record_placement(
         &asked,
@@ -176,6 +179,6 @@
     placer.receive(0, ROUTER, ToPlacer::Snapshot(records.snapshot_for(0, ROUTER)));
     // Avoiding the stream at one engine is worth more than the parts that it keeps.
     let mut long = request(2, "x", 1, 20_000);
-    (long.pause_objective_ms, long.objective_ms) = (PROMISED_MS, 2_000);
+    (long.pause_objective_ms, long.objective_ms) = (PAUSE_OBJECTIVE_MS, 2_000);
     assert_eq!(endpoint(place(&mut placer, 0, long)), "b");
 }
--- a/src/placement/tests/regions.rs
+++ b/src/placement/tests/regions.rs
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn the_way_to_another_region_counts_against_the_objective() {
+fn the_round_trip_to_another_region_counts_against_the_objective() {
     let own_ms = |mut placer: Placer| decide(&mut placer, 0, request_of_new_customer(1)).own_ms;
     let difference = own_ms(placer_of(&[], &["f"])) - own_ms(placer_of(&["n"], &[]));
-    let way = PlacementRules::default().other_region_round_trip_ms;
-    assert!((difference - way).abs() < 1e-9, "{difference} ms");
+    let round_trip_ms = PlacementRules::default().other_region_round_trip_ms;
+    assert!((difference - round_trip_ms).abs() < 1e-9, "{difference} ms");
 }
 
 #[test]
@@ -115,11 +115,11 @@
 #[test]
 fn what_an_engine_of_the_same_region_has_read_is_copied() {
     let mut placer = placer_of(&[], &["f", "g"]);
-    let home = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
+    let reader = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     serve(&mut placer, 300, 1);
-    let next = PlacementRequest { avoid: vec![home.clone()], ..request(2, "x", 7, 500) };
+    let next = PlacementRequest { avoid: vec![reader.clone()], ..request(2, "x", 7, 500) };
     match place(&mut placer, 400, next) {
-        FromPlacer::Go { copy_from, .. } => assert_eq!(copy_from, Some(home)),
+        FromPlacer::Go { copy_from, .. } => assert_eq!(copy_from, Some(reader)),
         other => panic!("not placed: {other:?}"),
     }
 }
@@ -128,9 +128,9 @@
 fn a_router_whose_region_is_not_known_may_use_any_engine() {
     let mut placer = placer_of(&[], &["f"]);
     let unknown = PlacementRequest { hall: "elsewhere".into(), ..request_of_new_customer(1) };
-    let here = decide(&mut placer, 0, unknown);
-    assert_eq!(endpoint(here.answer), "f");
-    assert!(here.own_ms > 0.0);
+    let decision = decide(&mut placer, 0, unknown);
+    assert_eq!(endpoint(decision.answer), "f");
+    assert!(decision.own_ms > 0.0);
 }
 
 #[test]
--- a/src/placement/tests/rests.rs
+++ b/src/placement/tests/rests.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn if_all_engines_rest_the_answer_is_unknown() {
+fn if_all_engines_are_resting_the_answer_is_unknown() {
     let mut placer = placer(&["a"]);
     report_rest(&mut placer, 0, ROUTER, rest("a", 1_000));
     let answer = place_for(&mut placer, 500, ROUTER, 1);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn one_trial_request_follows_a_rest_and_more_once_it_is_served() {
+fn one_request_is_sent_as_a_probe_after_a_rest_and_more_once_it_is_served() {
     let mut placer = placer(&["a", "b"]);
     report_rest(&mut placer, 0, ROUTER, rest("a", 1_000));
     // The other engine has something to read, so that this one looks better.
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_abandoned_trial_is_followed_by_another() {
+fn an_abandoned_probe_is_followed_by_another() {
     let mut placer = placer(&["a"]);
     report_rest(&mut placer, 0, ROUTER, rest("a", 100));
     assert_eq!(endpoint(place_for(&mut placer, 101, ROUTER, 1)), "a");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn the_number_of_remembered_rests_is_bounded() {
+fn the_number_of_recorded_rests_is_bounded() {
     let mut records = PlacementRecords::default();
     let ids: Vec<_> = (0..5_000).map(|number| format!("e-{number}")).collect();
     for id in &ids {
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -1,5 +1,5 @@
 //! A router's sessions with a placer over real sockets, on connections that fall silent. A router
-//! that kept using a dead connection would place requests by itself for ever, and customers would
+//! that kept using a dead connection would place requests by itself forever, and customers would
 //! not get equal shares.
 
 use std::sync::Arc;
