--- a/src/registry.rs
+++ b/src/registry.rs
@@ -6,7 +6,7 @@
 //! order.
 
 mod halls;
-mod known;
+mod record;
 mod retirement;
 pub mod saved;
 mod shared;
--- a/src/registry/known.rs
+++ b/src/registry/record.rs
@@ -9,15 +9,14 @@
 pub(super) const RESTORED_WARMUP_MS: u64 = 2_500;
 /// Heartbeats after which an endpoint's report that it is warm is trusted again: the first
 /// may have been sent before its data hall was restored.
-const WARMTH_TRUSTED_AFTER_CALLS: u64 = 2;
-
+const WARMTH_TRUSTED_AFTER_HEARTBEATS: u64 = 2;
 /// Heartbeats after which a start that was recorded as ended counts as still running: as
 /// many as may have been in flight when its end was received.
-const MIN_CALLS_AFTER_END: u64 = 4;
+const MIN_HEARTBEATS_AFTER_END: u64 = 4;
 
 /// The first heartbeat of a start after an end that may have been that of another start.
 #[derive(Clone, Copy, Debug)]
-struct FirstCall {
+struct FirstHeartbeat {
     started_at_ms: u64,
     sequence: u64,
 }
@@ -35,11 +34,11 @@
     /// have been in flight since before its data hall was restored.
     warmth_trusted_from: u64,
     /// The first heartbeat received here from a start since it was recorded as ended.
-    first_call_since_end: Option<FirstCall>,
+    first_heartbeat_since_end: Option<FirstHeartbeat>,
     /// Whether this start was reported as leaving.
     was_leaving: bool,
     /// Whether the end is certainly that of this start: the endpoint named the start, or a
-    /// roll-out ended it.
+    /// rollout ended it.
     end_is_certain: bool,
 }
 
@@ -53,7 +52,7 @@
             change: 0,
             direct,
             warmth_trusted_from: 0,
-            first_call_since_end: None,
+            first_heartbeat_since_end: None,
             was_leaving,
             end_is_certain,
         }
@@ -102,7 +101,7 @@
             return true;
         }
         if origin == Origin::Direct && update.state != EndpointState::Gone {
-            self.merge_call_after_end(update);
+            self.merge_heartbeat_after_end(update);
         }
         false
     }
@@ -113,7 +112,7 @@
         self.end_is_certain |= direct && is_end_of_named_start(&update);
         if self.registration.state == EndpointState::Gone {
             if direct && update.state != EndpointState::Gone {
-                self.merge_call_after_end(update);
+                self.merge_heartbeat_after_end(update);
             }
             return;
         }
@@ -131,14 +130,14 @@
     /// Merges a heartbeat of a start that was recorded as ended. The end may have been that
     /// of an earlier start, received late. If heartbeats continue, this start is still
     /// running; a few may have been in flight since before the end.
-    fn merge_call_after_end(&mut self, mut update: Registration) {
+    fn merge_heartbeat_after_end(&mut self, mut update: Registration) {
         let started_at_ms = update.started_at_ms;
-        let first = match self.first_call_since_end {
+        let first = match self.first_heartbeat_since_end {
             Some(first) if first.started_at_ms >= started_at_ms => first,
-            _ => FirstCall { started_at_ms, sequence: update.sequence },
+            _ => FirstHeartbeat { started_at_ms, sequence: update.sequence },
         };
-        self.first_call_since_end = Some(first);
-        let is_still_running = update.sequence >= first.sequence + MIN_CALLS_AFTER_END;
+        self.first_heartbeat_since_end = Some(first);
+        let is_still_running = update.sequence >= first.sequence + MIN_HEARTBEATS_AFTER_END;
         if first.started_at_ms == started_at_ms && is_still_running {
             update.revivals += 1;
             self.revive(update);
@@ -150,13 +149,13 @@
             return;
         }
         self.registration = update;
-        self.first_call_since_end = None;
+        self.first_heartbeat_since_end = None;
         if self.was_leaving {
             self.registration.state = self.registration.state.max(EndpointState::Leaving);
         }
     }
 
-    /// Sets the state of an endpoint that takes no more work because a roll-out ended.
+    /// Sets the state of an endpoint that takes no more work because a rollout ended.
     pub fn retire(&mut self, state: EndpointState) {
         self.registration.state = state;
         self.direct = false;
@@ -167,7 +166,7 @@
     /// until it has reported twice that it is warm.
     pub fn presume_cold(&mut self) {
         self.warmth_trusted_from =
-            self.registration.sequence.saturating_add(WARMTH_TRUSTED_AFTER_CALLS);
+            self.registration.sequence.saturating_add(WARMTH_TRUSTED_AFTER_HEARTBEATS);
         count_as_cold(&mut self.registration);
     }
 }
--- a/src/registry/retirement.rs
+++ b/src/registry/retirement.rs
@@ -1,19 +1,19 @@
-//! Endpoints that take no more work because a roll-out ended.
+//! Endpoints that take no more work because a rollout ended.
 
 use super::{EndpointState, Registration};
 
-/// Which endpoints of a service take no more work at the end of a roll-out.
+/// Which endpoints of a service take no more work at the end of a rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct Retirement<'a> {
     /// The service.
     pub service: &'a str,
     /// The releases whose endpoints are retired.
     pub releases: RetiredReleases<'a>,
-    /// End of the roll-out, in milliseconds since the epoch: endpoints that started later are
+    /// End of the rollout, in milliseconds since the epoch: endpoints that started later are
     /// not retired.
     pub at_ms: u64,
-    /// Whether this host knew the roll-out before it ended. Then endpoints without a start
-    /// time count as started before the end.
+    /// Whether this host had recorded the rollout before it ended. Then endpoints without a
+    /// start time count as started before the end.
     pub seen_in_progress: bool,
 }
 
--- a/src/registry/shared.rs
+++ b/src/registry/shared.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::watch;
 
-use super::known::RESTORED_WARMUP_MS;
+use super::record::RESTORED_WARMUP_MS;
 use super::{DrainedHalls, EndpointStart, Origin, Registration, Registry, Retirement};
 
 /// Maximum number of endpoints named in one log line.
@@ -59,7 +59,7 @@
         !changed.is_empty()
     }
 
-    /// Retires endpoints because a roll-out ended: they take no more work.
+    /// Retires endpoints because a rollout ended: they take no more work.
     pub fn retire(&self, retirement: Retirement<'_>) {
         let number = self.modify(|registry| registry.retire(retirement));
         log::info!("registry: retired {number} endpoints: {retirement:?}");
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::known::{EndpointRecord, count_as_cold};
+use super::record::{EndpointRecord, count_as_cold};
 use super::{DrainedHalls, EndpointStart, Retirement};
 
 /// Maximum number of ended endpoints that are kept, so that a late message does not bring
@@ -213,12 +213,12 @@
         true
     }
 
-    /// Retires endpoints because a roll-out ended; they do not report this themselves.
+    /// Retires endpoints because a rollout ended; they do not report this themselves.
     /// Returns their number.
     pub fn retire(&mut self, retirement: Retirement<'_>) -> usize {
         let before = self.remembered.len();
         self.remembered.retain(|_, registration| !retirement.includes(registration));
-        let forgotten = before - self.remembered.len();
+        let removed = before - self.remembered.len();
         let mut changed = Vec::new();
         for record in
             self.endpoints.values_mut().filter(|record| retirement.includes(&record.registration))
@@ -230,7 +230,7 @@
         changed.into_iter().for_each(|endpoint| {
             self.record_change(endpoint);
         });
-        number + forgotten
+        number + removed
     }
 
     /// Numbers the change of an endpoint to the registration `current`, and returns that.
@@ -242,12 +242,12 @@
             self.by_change.insert(self.last_change, current.id.clone());
         }
         if current.state == EndpointState::Gone {
-            self.remember_gone(&current.id);
+            self.record_gone(&current.id);
         }
         current
     }
 
-    fn remember_gone(&mut self, id: &str) {
+    fn record_gone(&mut self, id: &str) {
         self.gone.push_back(id.to_string());
         if self.gone.len() > MAX_GONE
             && let Some(oldest) = self.gone.pop_front()
@@ -321,7 +321,7 @@
         &self.drained
     }
 
-    /// Adds endpoints that took work before a restart. They count as ready until they
+    /// Adds endpoints that took work before this host restarted. They count as ready until they
     /// register again, or [`Registry::forget_remembered`] removes them.
     pub fn remember(&mut self, endpoints: Vec<Registration>) {
         let unconfirmed = endpoints.into_iter().filter(|e| !self.endpoints.contains_key(&e.id));
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -270,7 +270,7 @@
     }
 }
 
-/// A roll-out of `llm` that ended at 1,000 ms.
+/// A rollout of `llm` that ended at 1,000 ms.
 fn retirement(releases: RetiredReleases<'_>, seen_in_progress: bool) -> Retirement<'_> {
     Retirement { service: "llm", releases, at_ms: 1_000, seen_in_progress }
 }
@@ -301,7 +301,7 @@
     assert_eq!(registry.ready("app").count(), 1);
 }
 
-/// A host that was down reads the end of a roll-out from its log after the endpoints have
+/// A host that was down reads the end of a rollout from its log after the endpoints have
 /// registered.
 #[test]
 fn endpoints_that_started_after_the_end_are_not_retired_by_a_host_that_reads_of_it_late() {
@@ -319,7 +319,7 @@
     assert_eq!(ready_ids(&registry), ["next", "silent", "b"]);
 }
 
-/// The next roll-out is of another release; endpoints of the bad one may still be running.
+/// The next rollout is of another release; endpoints of the bad one may still be running.
 #[test]
 fn endpoints_of_a_release_that_was_rolled_back_get_no_work_until_they_restart() {
     let mut registry = Registry::default();
--- a/src/registry/tests/starts.rs
+++ b/src/registry/tests/starts.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_start_that_ended_with_a_roll_out_is_not_revived() {
+fn a_start_that_ended_with_a_rollout_is_not_revived() {
     let mut registry = Registry::default();
     registry.merge(started(1_000, 1, EndpointState::Ready), Direct);
     let releases = RetiredReleases::AllBut("v2");
