--- a/bench/variants.py
+++ b/bench/variants.py
@@ -21,8 +21,8 @@
 # name, file, what is replaced, by what, test arguments, environment
 VARIANTS = [
     ("idle customers keep credit", "src/dispatch/account.rs",
-     "let floor = if lift { self.floor() } else { 0 };", "let floor = if lift { 0 } else { 0 };",
-     LIB + ["idleness_earns_nothing"], {}),
+     "let floor = if raise_to_floor { self.floor() } else { 0 };", "let floor = if raise_to_floor { 0 } else { 0 };",
+     LIB + ["idle_time_earns_no_credit"], {}),
     ("costs are not settled", "src/dispatch/dispatcher/service.rs",
      "        self.settle(&granted, units);\n", "",
      LIB + ["a_cost_known_only_at_the_end_is_settled"], {}),
@@ -31,7 +31,7 @@
      LIB + ["a_dispatcher_that_takes_over_waits"], {}),
     ("a thawed dispatcher goes on", "src/dispatch/dispatcher/session.rs",
      "if stalled_ms < STALL_RESET_MS || self.sessions.is_empty() {", "if true {",
-     LIB + ["a_frozen_dispatcher_forgets"], {}),
+     LIB + ["a_stalled_dispatcher_drops_its_state"], {}),
     ("slots of a new session's old grants leak", "src/dispatch/dispatcher/session.rs",
      "        self.drop_grants_of(router);\n        self.accounts.drop_router(router);\n        let joined",
      "        self.accounts.drop_router(router);\n        let joined",
--- a/src/dispatch/account.rs
+++ b/src/dispatch/account.rs
@@ -112,17 +112,17 @@
     }
 
     /// Queues a request. The counter of a customer that was idle is raised to the floor, so
-    /// that idle time earns no credit. `lift` is false during recovery, when the floor is
-    /// not yet known.
+    /// that idle time earns no credit. `raise_to_floor` is false during recovery, when the
+    /// floor is not yet known.
     pub fn push(
         &mut self,
         now: Millis,
         id: CustomerId,
         router: HostId,
         request: QueuedRequest,
-        lift: bool,
+        raise_to_floor: bool,
     ) {
-        let floor = if lift { self.floor() } else { 0 };
+        let floor = if raise_to_floor { self.floor() } else { 0 };
         let account = self.by_id.entry(id).or_default();
         if account.waiting == 0 {
             account.counter = account.counter.max(floor);
--- a/src/dispatch/capacity.rs
+++ b/src/dispatch/capacity.rs
@@ -114,8 +114,7 @@
 }
 
 impl Capacity {
-    /// Capacity without endpoints. The dispatcher uses one part in `divisor` of each
-    /// endpoint's slots.
+    /// Capacity without endpoints. The dispatcher uses 1/`divisor` of each endpoint's slots.
     pub fn new(divisor: u32) -> Capacity {
         Capacity {
             divisor: divisor.max(1),
@@ -321,7 +320,7 @@
     }
 
     /// Removes all failures, rests and leaving reports of a router.
-    pub fn forget_router(&mut self, router: HostId) {
+    pub fn remove_router(&mut self, router: HostId) {
         self.endpoints.values_mut().for_each(|e| {
             e.failures.remove(&router);
             e.rests.remove(&router);
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -28,7 +28,8 @@
 const MAX_RETRY_MS: f64 = 60_000.0;
 /// Maximum time for which a router refuses a customer without asking, in milliseconds.
 const MAX_HOLD_MS: f64 = 1_000.0;
-/// Time after which a caller is asked to retry without an estimate, in milliseconds.
+/// Time after which a caller is asked to retry if its wait cannot be estimated, in
+/// milliseconds.
 const DEFAULT_RETRY_MS: u32 = 1_000;
 /// A queued request is refused when its estimated wait exceeds the time to its deadline by
 /// this factor.
@@ -147,7 +148,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher without state. It uses one part in `divisor` of each endpoint's slots;
+    /// A dispatcher without state. It uses 1/`divisor` of each endpoint's slots; `divisor` is
     /// 1 unless each router dispatches for itself.
     pub fn new(now: Millis, service: ServiceId, divisor: u32) -> Dispatcher {
         Dispatcher {
@@ -242,8 +243,8 @@
         out
     }
 
-    /// Applies the passing of time: refuses requests that cannot start in time, frees the
-    /// slots of lost routers, and grants.
+    /// Does the work that is due at `now`: refuses requests that cannot start in time, frees
+    /// the slots of lost routers, and grants.
     pub fn tick(&mut self, now: Millis) -> Vec<Decision> {
         let mut out = self.detect_stall(now);
         self.end_recovery(now);
@@ -302,7 +303,7 @@
             start_by: now + Millis::from(request.start_within_ms),
             prefix: request.prefix,
         };
-        let lift = self.recovering_until.is_none();
-        self.accounts.push(now, request.customer, router, queued, lift);
+        let raise_to_floor = self.recovering_until.is_none();
+        self.accounts.push(now, request.customer, router, queued, raise_to_floor);
     }
 }
--- a/src/dispatch/dispatcher/session.rs
+++ b/src/dispatch/dispatcher/session.rs
@@ -33,8 +33,8 @@
     ) {
         // Session numbers start from the time of day at the router's start. After a lost
         // session the next number may be lower if the router's clock was set back.
-        let is_late = |s: &Session| s.lost_at.is_none() && s.number >= session;
-        if self.sessions.get(&router).is_some_and(is_late) {
+        let is_outdated_by = |s: &Session| s.lost_at.is_none() && s.number >= session;
+        if self.sessions.get(&router).is_some_and(is_outdated_by) {
             return;
         }
         if takeover && self.sessions.is_empty() {
@@ -106,7 +106,7 @@
         let routers: Vec<_> = self.sessions.iter().filter_map(expired).collect();
         for router in routers {
             self.drop_grants_of(router);
-            self.capacity.forget_router(router);
+            self.capacity.remove_router(router);
             self.sessions.remove(&router);
         }
     }
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn idleness_earns_nothing() {
+fn idle_time_earns_no_credit() {
     let mut harness = Harness::new(config(&[1, 1], &[(0, 1)], 1_000));
     for _ in 0..50 {
         harness.request(0, 10);
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_frozen_dispatcher_forgets_what_it_held() {
+fn a_stalled_dispatcher_drops_its_state() {
     let mut harness = Harness::new(config(&[1], &[(0, 1)], 10));
     (0..5).for_each(|_| drop(harness.request(0, 1)));
     harness.now += STALL_RESET_MS;
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn a_router_that_dispatches_for_itself_uses_its_part_of_the_slots() {
+fn a_router_that_dispatches_for_itself_uses_its_fraction_of_the_slots() {
     let mut dispatcher = Dispatcher::new(0, ServiceId(0), 4);
     dispatcher.configure(0, config(&[1], &[(0, 16)], 100), &BTreeSet::new());
     let slots: u32 = dispatcher.snapshot().endpoints.iter().map(|e| e.slots).sum();
--- a/src/dispatch/tests/fleet.rs
+++ b/src/dispatch/tests/fleet.rs
@@ -32,8 +32,8 @@
 pub struct Fleet {
     pub now: Millis,
     pub dispatchers: Vec<Dispatcher>,
-    /// Time until which each dispatcher does not run.
-    pub frozen_until: Vec<Millis>,
+    /// Time until which each dispatcher is stalled and does not run.
+    pub stalled_until: Vec<Millis>,
     pub routers: Vec<Router>,
     pub served: BTreeMap<CustomerId, u64>,
     /// Requests running at each endpoint.
@@ -60,7 +60,7 @@
         let mut fleet = Fleet {
             now: 0,
             dispatchers: Vec::new(),
-            frozen_until: vec![0; dispatchers],
+            stalled_until: vec![0; dispatchers],
             routers: (0..routers).map(router).collect(),
             served: BTreeMap::new(),
             load: BTreeMap::new(),
@@ -172,7 +172,7 @@
             self.deliver_to_dispatcher(router);
         }
         for dispatcher in 0..self.dispatchers.len() {
-            if self.now >= self.frozen_until[dispatcher] {
+            if self.now >= self.stalled_until[dispatcher] {
                 let decisions = self.dispatchers[dispatcher].tick(self.now);
                 self.apply_decisions(dispatcher, decisions);
             }
@@ -203,7 +203,7 @@
 
     fn deliver_to_dispatcher(&mut self, router: usize) {
         let Some((dispatcher, session)) = self.routers[router].session else { return };
-        if self.now < self.frozen_until[dispatcher] {
+        if self.now < self.stalled_until[dispatcher] {
             return;
         }
         let messages: Vec<_> = self.routers[router].to.drain(..).collect();
--- a/src/dispatch/tests/properties.rs
+++ b/src/dispatch/tests/properties.rs
@@ -19,7 +19,7 @@
     Break { router: usize },
     Move { router: usize, dispatcher: usize },
     Kill { dispatcher: usize },
-    Freeze { dispatcher: usize, ms: u64 },
+    Stall { dispatcher: usize, ms: u64 },
     RestartRouter { router: usize },
     Run { steps: u8 },
 }
@@ -35,7 +35,7 @@
             .prop_map(|(router, dispatcher)| Event::Move { router, dispatcher }),
         1 => dispatcher.clone().prop_map(|dispatcher| Event::Kill { dispatcher }),
         1 => (dispatcher, 100u64..3_000)
-            .prop_map(|(dispatcher, ms)| Event::Freeze { dispatcher, ms }),
+            .prop_map(|(dispatcher, ms)| Event::Stall { dispatcher, ms }),
         1 => router.prop_map(|router| Event::RestartRouter { router }),
         8 => (1u8..30).prop_map(|steps| Event::Run { steps }),
     ]
@@ -52,7 +52,7 @@
         }
         Event::Move { router, dispatcher } => fleet.attach(router, dispatcher),
         Event::Kill { dispatcher } => fleet.kill(dispatcher, 1 - dispatcher),
-        Event::Freeze { dispatcher, ms } => fleet.frozen_until[dispatcher] = fleet.now + ms,
+        Event::Stall { dispatcher, ms } => fleet.stalled_until[dispatcher] = fleet.now + ms,
         Event::RestartRouter { router } => fleet.restart_router(router),
         Event::Run { steps } => (0..steps).for_each(|_| fleet.step()),
     }
@@ -64,7 +64,7 @@
 
 /// Ends all faults and attaches every router to one dispatcher.
 fn end_faults(fleet: &mut Fleet) {
-    fleet.frozen_until.fill(0);
+    fleet.stalled_until.fill(0);
     (0..ROUTERS).for_each(|router| fleet.attach(router, 0));
 }
 
--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -1,7 +1,7 @@
 //! Which endpoints a request may be sent to, independent of their load.
 //!
-//! The one definition for all places where an endpoint is chosen or a request is sent: the
-//! placer, a router that chooses by itself, and the check before each attempt.
+//! This definition is used wherever an endpoint is chosen or a request is sent: by the placer,
+//! by a router that chooses by itself, and in the check before each attempt.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
