--- a/src/quarantine/crash_analysis.rs
+++ b/src/quarantine/crash_analysis.rs
@@ -104,7 +104,7 @@
         for event in events {
             match event {
                 StartEvent::Started(start) => self.record_start(now, &start),
-                StartEvent::Gone(endpoint) => self.starts.forget(&endpoint),
+                StartEvent::Gone(endpoint) => self.starts.remove(&endpoint),
             }
         }
     }
--- a/src/quarantine/culprits.rs
+++ b/src/quarantine/culprits.rs
@@ -15,7 +15,7 @@
 /// requests that are sent again meets the culprit a second time. On generated days with 9
 /// endpoints, of which one a second crashes for another reason, a plain limit of two crashes
 /// refuses 1,098 of 88,060 innocent arrivals, a limit of three refuses 152, and this module
-/// refuses none; in exchange a culprit ends 4.8 endpoints here, and 2.4 and 3.6 under the plain
+/// refuses none; in exchange a culprit crashes 4.8 endpoints here, and 2.4 and 3.6 under the plain
 /// limits (`tests/generated_crashes.rs`).
 const MIN_CRASHES: usize = 3;
 /// Crashes after which a request is blamed however many endpoints crash for other reasons: in
@@ -24,7 +24,7 @@
 const MIN_CRASHES_IN_OUTAGE: usize = 5;
 /// A request is blamed only if it explains at least one in this many of the crashes of its
 /// period: its own, and those that nothing explains and that count as chance.
-const MIN_PART_DIVISOR: usize = 3;
+const MIN_FRACTION_DIVISOR: usize = 3;
 /// Crashes after which a request is blamed although other requests explain all of them: a
 /// request that crashes nothing is hardly sent so often and lost each time.
 const MIN_CRASHES_BESIDE_CULPRITS: usize = 2 * MIN_CRASHES;
@@ -188,5 +188,5 @@
 fn exceeds_chance(crashes: usize, in_all: usize, among: usize) -> bool {
     let half_crashes = crashes + in_all;
     half_crashes >= 2 * MIN_CRASHES_IN_OUTAGE
-        || half_crashes >= 2 * MIN_CRASHES && crashes * MIN_PART_DIVISOR >= among
+        || half_crashes >= 2 * MIN_CRASHES && crashes * MIN_FRACTION_DIVISOR >= among
 }
--- a/src/quarantine/guard.rs
+++ b/src/quarantine/guard.rs
@@ -1,4 +1,4 @@
-//! The router's part: refuses quarantined requests, and reports observations of crashes to the
+//! The router's side: refuses quarantined requests, and reports observations of crashes to the
 //! leader.
 
 use std::collections::BTreeSet;
--- a/src/quarantine/served.rs
+++ b/src/quarantine/served.rs
@@ -3,7 +3,7 @@
 use super::Fingerprint;
 use crate::dispatch::Millis;
 
-/// Requests that are remembered: at 200 a second per router, those of the last minute.
+/// Requests that are recorded: at 200 a second per router, those of the last minute.
 const SLOTS: usize = 8_192;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -13,7 +13,7 @@
 }
 
 /// When requests were last served by this router. Each slot holds the latest request that maps to
-/// it, so a flood of requests makes the router forget earlier ones, but takes no more memory.
+/// it, so a flood of requests overwrites earlier ones, but takes no more memory.
 #[derive(Clone, Debug)]
 pub struct RecentlyServed {
     slots: Vec<Slot>,
@@ -32,7 +32,7 @@
         self.slots[tag as usize % SLOTS] = Slot { tag, at: now };
     }
 
-    /// When a request was last served, if that is still remembered.
+    /// When a request was last served, if that is still recorded.
     pub fn last_served(&self, fingerprint: &Fingerprint) -> Option<Millis> {
         let tag = fingerprint.hash();
         let slot = self.slots[tag as usize % SLOTS];
--- a/src/quarantine/starts.rs
+++ b/src/quarantine/starts.rs
@@ -70,8 +70,8 @@
         confirmed.into_iter().map(|(crash, _)| crash).collect()
     }
 
-    /// Forgets an endpoint that is gone for good.
-    pub fn forget(&mut self, id: &str) {
+    /// Removes an endpoint that is gone for good.
+    pub fn remove(&mut self, id: &str) {
         self.known.remove(id);
     }
 }
--- a/src/registry/saved.rs
+++ b/src/registry/saved.rs
@@ -18,8 +18,9 @@
 
 /// Name of the file in the data folder.
 const FILE: &str = "endpoints";
-/// First bytes of the file, which rise with every change to the fields of a registration. A
-/// list without them begins with a count in at most ten bytes, which these ten cannot be.
+/// First bytes of the file, which identify its format; raised with every change to the fields
+/// of a registration. A file without them begins with a count of at most ten bytes, and these
+/// ten are no valid count.
 const FORMAT: [u8; 10] = [0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x82];
 /// How long to wait for further changes before the file is written.
 const WRITE_DELAY: Duration = Duration::from_millis(250);
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -304,7 +304,7 @@
 /// A host that was down reads the end of a rollout from its log after the endpoints have
 /// registered.
 #[test]
-fn endpoints_that_started_after_the_end_are_not_retired_by_a_host_that_reads_of_it_late() {
+fn endpoints_that_started_after_the_end_are_not_retired_by_a_host_that_learns_of_it_late() {
     let mut registry = Registry::default();
     registry.remember(vec![
         registration_of_release("a", "v1", 100),
--- a/src/rollout/active.rs
+++ b/src/rollout/active.rs
@@ -99,7 +99,7 @@
     is_rejected: bool,
     /// Since when it has been suspicious without interruption.
     suspicious_since: Option<Millis>,
-    /// Since when this host has known no endpoint of an old release.
+    /// Since when no endpoint of an old release has been recorded at this host.
     without_old_since: Option<Millis>,
     sent_new: u64,
     sent_old: u64,
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -14,15 +14,15 @@
 /// are if it is bad. Derived from the table in `docs/design/roll-outs.md`.
 const REJECT_EVIDENCE: f64 = 6.5;
 /// Milliseconds of a rollout that [`REJECT_EVIDENCE`] applies to. A longer rollout has more
-/// windows in which chance may speak against a good release, so it requires more evidence, by
+/// windows in which chance may count against a good release, so it requires more evidence, by
 /// the logarithm of how many times longer it is.
 const REFERENCE_DURATION_MS: f64 = 12_000.0;
 /// Most evidence that one window may add, as a fraction of that which rejects: an endpoint
-/// that crashes truncates many answers at once, and the following windows of the other
-/// endpoints speak for the release.
+/// that crashes truncates many answers at once, and the other endpoints' answers in the
+/// following windows are evidence for the release.
 const MAX_WINDOW_FRACTION: f64 = 0.17;
-/// The same once most requests go to the release: one endpoint is a small part of it then,
-/// and each window affects many callers.
+/// The same once most requests go to the release: one endpoint is a small fraction of it
+/// then, and each window affects many callers.
 const MAX_WINDOW_FRACTION_MOSTLY_NEW: f64 = 0.5;
 /// Minimum rate of failing answers that is expected anywhere: a few failures by chance must
 /// not reject a release when the old releases had none yet.
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -41,7 +41,7 @@
 /// Milliseconds for which a host must have counted requests before it considers a service
 /// idle: a leader that has just taken over has few reports even of a busy service.
 const MIN_COUNTED_MS: u64 = 2_000;
-/// Milliseconds without a known old endpoint after which none counts as left: a host that
+/// Milliseconds without a recorded old endpoint after which none counts as left: a host that
 /// has just started may receive the registrations of new endpoints first, and endpoints
 /// register about once a second.
 const OLD_GONE_AFTER_MS: u64 = 3_000;
@@ -77,8 +77,8 @@
     pub new_slots: u32,
     /// Slots of the old releases' endpoints that take work.
     pub old_slots: u32,
-    /// Milliseconds for which this host has known no endpoint of an old release, working or
-    /// leaving; 0 while it knows one.
+    /// Milliseconds for which no endpoint of an old release, working or leaving, has been
+    /// recorded at this host; 0 while one is.
     pub without_old_ms: u64,
     /// Whether most live routers have reported recently. Otherwise a low number of counted
     /// requests does not mean that there are few.
--- a/src/rollout/shared.rs
+++ b/src/rollout/shared.rs
@@ -11,8 +11,8 @@
 use crate::registry::{RetiredReleases, Retirement, SharedRegistry};
 use crate::wire::HostId;
 
-/// Most reports kept until the leader's next decision: a few seconds of reports from
-/// hundreds of routers. Beyond that the oldest are dropped, as if they were lost on the way.
+/// Maximum number of reports kept until the leader's next decision: a few seconds of reports from
+/// hundreds of routers. Beyond that the oldest are dropped, as if they were lost in transit.
 const MAX_REPORTS: usize = 8_192;
 
 /// The agreed rollouts, the leader's grants and the reports of routers.
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -219,7 +219,7 @@
     VersionRule::Not(rollout.order.version.clone())
 }
 
-/// The side of the release whose answer the caller has a piece of.
+/// The side of the release from which the caller has received part of the answer.
 fn bound_release(choice: &ReleaseChoice, rollout: &Rollout) -> Release {
     match choice.bound.as_ref() == Some(&rollout.order.version) {
         true => Release::New,
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -96,7 +96,7 @@
     }
 
     /// Records an answer that began successfully at a cold endpoint, without its time, which
-    /// would say nothing about the release.
+    /// would be no evidence about the release.
     pub fn record_answered_cold(&mut self, key: &TallyKey) {
         self.count(key, |counts| counts.answered += 1);
     }
--- a/src/rollout/tests/analysis.rs
+++ b/src/rollout/tests/analysis.rs
@@ -97,12 +97,12 @@
     upper: u32,
 }
 
-fn measure<J: Detector>(routes: &'static [Route], fault: Fault) -> Measured {
+fn measure<D: Detector>(routes: &'static [Route], fault: Fault) -> Measured {
     let mut bad_answers = Vec::new();
     let mut rejected = 0;
     for seed in 0..RUNS {
         let mut stream = Stream::new(routes, fault, CANARY_FRACTION, seed);
-        let mut detector = J::start();
+        let mut detector = D::start();
         let mut bad = 0;
         for _ in 0..WINDOWS {
             let (tallies, in_window) = stream.next();
--- a/src/rollout/tests/streams.rs
+++ b/src/rollout/tests/streams.rs
@@ -86,7 +86,8 @@
     OneEndpointCrashes,
 }
 
-const TROUBLE_WINDOWS: std::ops::Range<usize> = 30..50;
+/// Windows in which a fault of both releases occurs.
+const SHARED_FAULT_WINDOWS: std::ops::Range<usize> = 30..50;
 
 /// Generator of the answers of one window after another.
 pub struct Stream {
@@ -147,8 +148,8 @@
                 (fraction, 1.0)
             }
             Fault::Slower { from, times } if is_new && now >= from => (0.0, times),
-            Fault::FailsOnBoth if TROUBLE_WINDOWS.contains(&now) => (0.33, 1.0),
-            Fault::SlowerOnBoth if TROUBLE_WINDOWS.contains(&now) => (0.0, 3.0),
+            Fault::FailsOnBoth if SHARED_FAULT_WINDOWS.contains(&now) => (0.33, 1.0),
+            Fault::SlowerOnBoth if SHARED_FAULT_WINDOWS.contains(&now) => (0.0, 3.0),
             Fault::OneEndpointCrashes if is_new && now == 30 => (0.9, 1.0),
             Fault::OneEndpointCrashes if is_new && (31..34).contains(&now) => (0.25, 1.0),
             _ => (0.0, 1.0),
