--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -177,7 +177,7 @@
     let mut placer = placer(&["a", "b"]);
     let keeper = endpoint(place(&mut placer, 0, request(1, "x", 7, 500)));
     serve(&mut placer, 300, 1);
-    // The engine that keeps the part has much to read.
+    // Long prompts fill the queue of the engine that keeps the part.
     for seq in 2..6 {
         let PlacementRequest { parts, .. } = request(seq, "x", 7, 9_000);
         let big = PlacementRequest { parts, objective_ms: 5_000, ..request(seq, "x", 7, 9_000) };
--- a/src/placement/tests/parts.rs
+++ b/src/placement/tests/parts.rs
@@ -8,21 +8,21 @@
 const CAPACITY: u64 = 50;
 
 /// One engine's parts, most recently used last: id, tokens, whether it was read.
-type Plain = Vec<(u64, u32, bool)>;
+type SimpleCache = Vec<(u64, u32, bool)>;
 
-fn touch(plain: &mut Plain, parts: &[(u64, u32)]) {
+fn touch(cache: &mut SimpleCache, parts: &[(u64, u32)]) {
     for (id, tokens) in parts.iter().rev() {
-        let read = plain.iter().any(|kept| kept.0 == *id && kept.2);
-        plain.retain(|kept| kept.0 != *id);
-        plain.push((*id, *tokens, read));
+        let read = cache.iter().any(|kept| kept.0 == *id && kept.2);
+        cache.retain(|kept| kept.0 != *id);
+        cache.push((*id, *tokens, read));
     }
-    while plain.iter().map(|kept| u64::from(kept.1)).sum::<u64>() > CAPACITY {
-        plain.remove(0);
+    while cache.iter().map(|kept| u64::from(kept.1)).sum::<u64>() > CAPACITY {
+        cache.remove(0);
     }
 }
 
-fn leading(plain: &Plain, parts: &[(u64, u32)], read: bool) -> u32 {
-    let keeps = |id: u64| plain.iter().any(|kept| kept.0 == id && (kept.2 || !read));
+fn leading(cache: &SimpleCache, parts: &[(u64, u32)], read: bool) -> u32 {
+    let keeps = |id: u64| cache.iter().any(|kept| kept.0 == id && (kept.2 || !read));
     parts.iter().take_while(|(id, _)| keeps(*id)).map(|(_, tokens)| *tokens).sum()
 }
 
@@ -30,7 +30,7 @@
 enum Step {
     Touch(usize, Vec<u64>),
     Read(usize, Vec<u64>),
-    Forget(usize),
+    Remove(usize),
 }
 
 fn prompt() -> impl Strategy<Value = Vec<u64>> {
@@ -41,7 +41,7 @@
     prop_oneof![
         5 => (0..ENGINES, prompt()).prop_map(|(engine, parts)| Step::Touch(engine, parts)),
         3 => (0..ENGINES, prompt()).prop_map(|(engine, parts)| Step::Read(engine, parts)),
-        1 => (0..ENGINES).prop_map(Step::Forget),
+        1 => (0..ENGINES).prop_map(Step::Remove),
     ]
 }
 
@@ -65,33 +65,33 @@
         asked in prompt(),
     ) {
         let mut index = PartIndex::default();
-        let mut plain: [Plain; ENGINES] = Default::default();
+        let mut caches: [SimpleCache; ENGINES] = Default::default();
         for step in steps {
             match step {
                 Step::Touch(engine, ids) => {
                     let parts = with_tokens(&ids);
                     index.touch(engine, &parts, CAPACITY);
-                    touch(&mut plain[engine], &parts);
+                    touch(&mut caches[engine], &parts);
                 }
                 Step::Read(engine, ids) => {
                     index.set_read(engine, &with_tokens(&ids));
-                    for kept in plain[engine].iter_mut().filter(|kept| ids.contains(&kept.0)) {
+                    for kept in caches[engine].iter_mut().filter(|kept| ids.contains(&kept.0)) {
                         kept.2 = true;
                     }
                 }
-                Step::Forget(engine) => {
+                Step::Remove(engine) => {
                     index.remove_engine(engine);
-                    plain[engine].clear();
+                    caches[engine].clear();
                 }
             }
         }
         let parts = with_tokens(&asked);
         let mut found = [Match::default(); ENGINES];
         index.find(&parts, &mut found);
-        for (engine, plain) in plain.iter().enumerate() {
-            prop_assert_eq!(found[engine].kept, leading(plain, &parts, false));
-            prop_assert_eq!(found[engine].read, leading(plain, &parts, true));
-            prop_assert_eq!(index.kept(engine, &parts), leading(plain, &parts, false));
+        for (engine, cache) in caches.iter().enumerate() {
+            prop_assert_eq!(found[engine].kept, leading(cache, &parts, false));
+            prop_assert_eq!(found[engine].read, leading(cache, &parts, true));
+            prop_assert_eq!(index.kept(engine, &parts), leading(cache, &parts, false));
         }
     }
 }
--- a/src/placement/tests/queue.rs
+++ b/src/placement/tests/queue.rs
@@ -41,7 +41,7 @@
     assert_eq!(queue.wait_ms(300, PACE), 100.0, "seen from a later time, without advancing");
     queue.advance(300, PACE);
     assert_eq!(queue.wait_ms(300, PACE), 100.0);
-    // Idle time is not saved up.
+    // Idle time does not speed up the reading of later prompts.
     queue.advance(2_000, PACE);
     queue.insert(0, Planned { units: 100.0, latest_start: 0.0 });
     assert_eq!(queue.wait_ms(2_000, PACE), 200.0);
@@ -66,7 +66,7 @@
             break;
         }
     }
-    // All but a little was read at full speed; the paced queue lasts longer.
+    // The engine has read the prompts at full speed, and the paced queue still holds some.
     for read in 1..seq {
         placer.receive(20 * read + 60, ROUTER, ToPlacer::FirstEvent { seq: read });
     }
--- a/src/placement/tests/regions.rs
+++ b/src/placement/tests/regions.rs
@@ -98,7 +98,7 @@
 #[test]
 fn what_an_engine_of_another_region_has_read_is_never_copied() {
     let mut placer = placer_of(&["n"], &["f"]);
-    // The far engine reads the shared part, and then has much to read.
+    // The far engine reads the shared part, and then a long prompt fills its queue.
     let first = bound(&["s"], request(1, "x", 7, 500));
     assert_eq!(endpoint(place(&mut placer, 0, first)), "f");
     serve(&mut placer, 300, 1);
--- a/src/placement/tests/share_usage.rs
+++ b/src/placement/tests/share_usage.rs
@@ -36,7 +36,7 @@
         endpoint(place(&mut placer, now, ask(seq, customer)));
         serve(&mut placer, now + 70, seq);
     }
-    // The engine gets much to read.
+    // A long prompt fills the engine's queue.
     let big =
         PlacementRequest { parts: vec![(100, 9_000)], prompt_tokens: 9_000, ..ask(100, "other") };
     place(&mut placer, 1_500, big);
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -285,8 +285,8 @@
             return false;
         }
         let before = std::mem::replace(&mut self.drained, drained);
-        // Several orders may arrive as one: the halls drained and restored in between were
-        // never seen here.
+        // Several orders may arrive as one, so halls that were drained and restored in between
+        // have not been recorded here as drained.
         let restored: BTreeSet<_> = self.drained.restored_after(before.revision()).collect();
         self.just_restored.retain(|hall| !self.drained.contains(hall));
         self.just_restored.extend(restored.iter().map(|hall| hall.to_string()));
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -42,16 +42,16 @@
 }
 
 #[test]
-fn heartbeats_that_change_nothing_are_not_passed_on() {
+fn heartbeats_that_change_nothing_are_not_relayed() {
     let mut registry = Registry::default();
     registry.merge(registration("e", 1, EndpointState::Ready), Direct);
     assert!(registry.merge(registration("e", 2, EndpointState::Ready), Direct).is_none());
-    let moved = Registration { slots: 32, ..registration("e", 3, EndpointState::Ready) };
-    assert_eq!(registry.merge(moved, Direct).unwrap().slots, 32);
+    let resized = Registration { slots: 32, ..registration("e", 3, EndpointState::Ready) };
+    assert_eq!(registry.merge(resized, Direct).unwrap().slots, 32);
 }
 
 #[test]
-fn another_release_or_data_hall_of_an_endpoint_is_passed_on() {
+fn another_release_or_data_hall_of_an_endpoint_is_relayed() {
     let mut registry = Registry::default();
     registry.merge(registration("e", 1, EndpointState::Ready), Direct);
     let released =
--- a/src/registry/tests/halls.rs
+++ b/src/registry/tests/halls.rs
@@ -18,7 +18,7 @@
     let mut registry = Registry::default();
     registry.merge(registration("e", 7, EndpointState::Ready), Direct);
     assert!(registry.adopt_drained(restored_hall()));
-    assert!(is_cold(&registry), "a host that just started never saw the hall drained");
+    assert!(is_cold(&registry), "a host that just started has no record of the drained hall");
 }
 
 #[test]
@@ -29,7 +29,7 @@
     registry.adopt_drained(restored_hall());
     assert!(is_cold(&registry));
     registry.remember(vec![registration("f", 7, EndpointState::Ready)]);
-    assert!(is_cold(&registry), "endpoints that another host remembers are no newer");
+    assert!(is_cold(&registry), "endpoints remembered by another host are no newer");
 }
 
 #[test]
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_hall_restored_again_is_not_forgotten_with_the_earlier_order() {
+fn a_hall_restored_again_stays_cold_when_the_earlier_order_expires() {
     let mut registry = Registry::default();
     registry.adopt_drained(restored_hall());
     let mut halls = restored_hall();
