--- a/src/registry/halls.rs
+++ b/src/registry/halls.rs
@@ -1,4 +1,4 @@
-//! Data halls drained by operators: their endpoints get no new work.
+//! Data halls drained by operators: their endpoints get no new requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,7 +51,7 @@
         self.restored.range(revision + 1..).map(|(_, hall)| hall.as_str())
     }
 
-    /// Whether the endpoints of a data hall get no new work.
+    /// Whether the endpoints of a data hall get no new requests.
     pub fn contains(&self, hall: &str) -> bool {
         self.halls.contains(hall)
     }
--- a/src/registry/record.rs
+++ b/src/registry/record.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Sets the state of an endpoint that takes no more work because a rollout ended.
+    /// Sets the state of an endpoint that accepts no more requests because a rollout ended.
     pub fn retire(&mut self, state: EndpointState) {
         self.registration.state = state;
         self.direct = false;
--- a/src/registry/retirement.rs
+++ b/src/registry/retirement.rs
@@ -1,8 +1,8 @@
-//! Endpoints that take no more work because a rollout ended.
+//! Endpoints that accept no more requests because a rollout ended.
 
 use super::{EndpointState, Registration};
 
-/// Which endpoints of a service take no more work at the end of a rollout.
+/// Which endpoints of a service accept no more requests at the end of a rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct Retirement<'a> {
     /// The service.
--- a/src/registry/saved.rs
+++ b/src/registry/saved.rs
@@ -25,7 +25,7 @@
 /// How long to wait for further changes before the file is written.
 const WRITE_DELAY: Duration = Duration::from_millis(250);
 
-/// Reads the endpoints that took work when the file was written.
+/// Reads the endpoints that accepted requests when the file was written.
 pub fn load(folder: &Path) -> Vec<Registration> {
     let path = folder.join(FILE);
     let bytes = match std::fs::read(&path) {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Replaces the saved endpoints by these, which take work.
+/// Replaces the saved endpoints by these, which accept requests.
 pub fn save(folder: &Path, endpoints: &[Registration]) -> Result<()> {
     let path = folder.join(FILE);
     let new = folder.join(format!("{FILE}.new"));
@@ -59,7 +59,7 @@
     std::fs::rename(&new, &path).context(FileSnafu { path: &path })
 }
 
-/// Writes the file whenever the endpoints that take work have changed.
+/// Writes the file whenever the endpoints that accept requests have changed.
 pub async fn keep_saved(registry: Arc<SharedRegistry>, folder: PathBuf) {
     let mut changes = registry.watch();
     while changes.changed().await.is_ok() {
--- a/src/registry/shared.rs
+++ b/src/registry/shared.rs
@@ -50,7 +50,7 @@
     }
 
     /// Records starts that are leaving, as reported by other means than a registration.
-    /// Returns whether any of them was recorded as taking work.
+    /// Returns whether any of them was recorded as accepting requests.
     pub fn record_leaving(&self, starts: &[EndpointStart], origin: Origin) -> bool {
         let changed: Vec<_> = self.modify(|registry| {
             starts.iter().filter_map(|start| registry.record_leaving(start, origin)).collect()
@@ -59,7 +59,7 @@
         !changed.is_empty()
     }
 
-    /// Retires endpoints because a rollout ended: they take no more work.
+    /// Retires endpoints because a rollout ended: they accept no more requests.
     pub fn retire(&self, retirement: Retirement<'_>) {
         let number = self.modify(|registry| registry.retire(retirement));
         log::info!("registry: retired {number} endpoints: {retirement:?}");
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Adds endpoints that took work before a restart, for as long as it may take them to
+    /// Adds endpoints that accepted requests before a restart, for as long as it may take them to
     /// register again.
     pub fn remember(self: &Arc<Self>, endpoints: Vec<Registration>) {
         log::info!(
--- a/src/registry/table.rs
+++ b/src/registry/table.rs
@@ -15,7 +15,7 @@
 /// State of an endpoint. The variants are in the order in which an endpoint passes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
     /// It finishes its running requests and takes no new ones.
     Leaving,
@@ -119,7 +119,7 @@
     /// a slow listener costs no memory.
     by_change: BTreeMap<u64, String>,
     last_change: u64,
-    /// Endpoints that took work before this host restarted, and have not registered since.
+    /// Endpoints that accepted requests before this host restarted, and have not registered since.
     remembered: BTreeMap<String, Registration>,
     /// Ids of ended endpoints, the earliest end first.
     gone: std::collections::VecDeque<String>,
@@ -172,7 +172,7 @@
     }
 
     /// Records a start that is leaving, as reported by other means than a registration.
-    /// Returns the current registration, if this start was recorded as taking work.
+    /// Returns the current registration, if this start was recorded as accepting requests.
     pub fn record_leaving(
         &mut self,
         start: &EndpointStart,
@@ -193,7 +193,7 @@
         leaving.take(limit).map(EndpointStart::of).collect()
     }
 
-    /// Whether the start of this registration is the recorded one and takes new work.
+    /// Whether the start of this registration is the recorded one and accepts new requests.
     pub fn start_takes_work(&self, endpoint: &Registration) -> bool {
         let known = self.get_ready(&endpoint.id);
         known.is_some_and(|known| known.started_at_ms == endpoint.started_at_ms)
@@ -316,13 +316,13 @@
         just_restored.retain(|hall| later.contains(hall.as_str()));
     }
 
-    /// The data halls whose endpoints get no new work.
+    /// The data halls whose endpoints get no new requests.
     pub fn drained(&self) -> &DrainedHalls {
         &self.drained
     }
 
-    /// Adds endpoints that took work before this host restarted. They count as ready until they
-    /// register again, or [`Registry::forget_remembered`] removes them.
+    /// Adds endpoints that accepted requests before this host restarted. They count as ready
+    /// until they register again, or [`Registry::forget_remembered`] removes them.
     pub fn remember(&mut self, endpoints: Vec<Registration>) {
         let unconfirmed = endpoints.into_iter().filter(|e| !self.endpoints.contains_key(&e.id));
         let unconfirmed: Vec<_> = unconfirmed.filter(|e| e.state == EndpointState::Ready).collect();
@@ -354,7 +354,7 @@
         record.or_else(|| self.remembered.get(id))
     }
 
-    /// The current registration of an endpoint, if it takes new work.
+    /// The current registration of an endpoint, if it accepts new requests.
     pub fn get_ready(&self, id: &str) -> Option<&Registration> {
         self.get(id).filter(|endpoint| self.takes_work(endpoint))
     }
@@ -364,13 +364,13 @@
         self.endpoints.values().map(|record| &record.registration)
     }
 
-    /// Endpoints of a service that take new work.
+    /// Endpoints of a service that accept new requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Registration> {
         let is_ready = move |r: &&Registration| r.service == service && self.takes_work(r);
         self.all().chain(self.remembered.values()).filter(is_ready)
     }
 
-    /// Whether an endpoint takes new work: it is ready, and its data hall is not drained.
+    /// Whether an endpoint accepts new requests: it is ready, and its data hall is not drained.
     fn takes_work(&self, endpoint: &Registration) -> bool {
         endpoint.state == EndpointState::Ready && !self.drained.contains(&endpoint.hall)
     }
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -77,7 +77,7 @@
     #![proptest_config(crate::testing::property(128))]
 
     /// Two processes that received the same updates, in any order, agree on which endpoints
-    /// take work, and on the last update of those that have not ended.
+    /// accept requests, and on the last update of those that have not ended.
     #[test]
     fn the_order_of_updates_does_not_matter(
         (updates, shuffled) in proptest::collection::vec(any_registration(), 0..20)
@@ -333,7 +333,7 @@
         .merge(Registration { sequence: 9, ..registration_of_release("bad", "v2", 900) }, Direct);
     assert_eq!(ready_ids(&registry), ["old"]);
     assert_eq!(registry.get("bad").unwrap().state, EndpointState::Leaving);
-    // It takes work again after a restart.
+    // It accepts requests again after a restart.
     registry.merge(registration_of_release("bad", "v2", 2_000), Direct);
     assert_eq!(ready_ids(&registry), ["bad", "old"]);
 }
--- a/src/rollout/active.rs
+++ b/src/rollout/active.rs
@@ -28,7 +28,7 @@
     pub order: u32,
     /// Whether it belongs to the release that is rolled out.
     pub is_new: bool,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub is_ready: bool,
     /// Whether it is cold.
     pub is_cold: bool,
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -73,9 +73,9 @@
     pub new_sent: f64,
     /// Requests to the service per millisecond.
     pub sent_per_ms: f64,
-    /// Slots of the new release's endpoints that take work.
+    /// Slots of the new release's endpoints that accept requests.
     pub new_slots: u32,
-    /// Slots of the old releases' endpoints that take work.
+    /// Slots of the old releases' endpoints that accept requests.
     pub old_slots: u32,
     /// Milliseconds for which no endpoint of an old release, working or leaving, has been
     /// recorded at this host; 0 while one is.
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -61,7 +61,7 @@
     Granted,
     /// No grant is valid now.
     NoGrant,
-    /// No endpoint of an old release takes work.
+    /// No endpoint of an old release accepts requests.
     NoOther,
     /// The rollout has ended.
     Ended,
@@ -73,7 +73,7 @@
     pub rollout: Option<&'a Rollout>,
     /// The leader's grant, if one is valid.
     pub grant: Option<&'a Grant>,
-    /// Whether an endpoint of an old release takes work and could run the request.
+    /// Whether an endpoint of an old release accepts requests and could run the request.
     pub others_take_work: bool,
 }
 
--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -88,7 +88,7 @@
 pub struct ServicePool {
     /// The service's name.
     pub name: String,
-    /// Path at which an endpoint reports whether it takes work, without running a request.
+    /// Path at which an endpoint reports whether it accepts requests, without running a request.
     pub health_path: String,
     /// Connections that one endpoint accepts from all routers together.
     pub max_connections: u32,
