--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -42,16 +42,16 @@
 }
 
 #[test]
-fn heartbeats_that_change_nothing_are_not_passed_on() {
+fn heartbeats_that_change_nothing_are_not_relayed() {
     let mut registry = Registry::default();
     registry.merge(registration("e", 1, EndpointState::Ready), Direct);
     assert!(registry.merge(registration("e", 2, EndpointState::Ready), Direct).is_none());
-    let moved = Registration { slots: 32, ..registration("e", 3, EndpointState::Ready) };
-    assert_eq!(registry.merge(moved, Direct).unwrap().slots, 32);
+    let resized = Registration { slots: 32, ..registration("e", 3, EndpointState::Ready) };
+    assert_eq!(registry.merge(resized, Direct).unwrap().slots, 32);
 }
 
 #[test]
-fn another_release_or_data_hall_of_an_endpoint_is_passed_on() {
+fn another_release_or_data_hall_of_an_endpoint_is_relayed() {
     let mut registry = Registry::default();
     registry.merge(registration("e", 1, EndpointState::Ready), Direct);
     let released =
@@ -77,7 +77,7 @@
     #![proptest_config(crate::testing::property(128))]
 
     /// Two processes that received the same updates, in any order, agree on which endpoints
-    /// take work, and on the last update of those that have not ended.
+    /// accept requests, and on the last update of those that have not ended.
     #[test]
     fn the_order_of_updates_does_not_matter(
         (updates, shuffled) in proptest::collection::vec(any_registration(), 0..20)
@@ -270,7 +270,7 @@
     }
 }
 
-/// A roll-out of `llm` that ended at 1,000 ms.
+/// A rollout of `llm` that ended at 1,000 ms.
 fn retirement(releases: RetiredReleases<'_>, seen_in_progress: bool) -> Retirement<'_> {
     Retirement { service: "llm", releases, at_ms: 1_000, seen_in_progress }
 }
@@ -301,10 +301,10 @@
     assert_eq!(registry.ready("app").count(), 1);
 }
 
-/// A host that was down reads the end of a roll-out from its log after the endpoints have
+/// A host that was down reads the end of a rollout from its log after the endpoints have
 /// registered.
 #[test]
-fn endpoints_that_started_after_the_end_are_not_retired_by_a_host_that_reads_of_it_late() {
+fn endpoints_that_started_after_the_end_are_not_retired_by_a_host_that_learns_of_it_late() {
     let mut registry = Registry::default();
     registry.remember(vec![
         registration_of_release("a", "v1", 100),
@@ -319,7 +319,7 @@
     assert_eq!(ready_ids(&registry), ["next", "silent", "b"]);
 }
 
-/// The next roll-out is of another release; endpoints of the bad one may still be running.
+/// The next rollout is of another release; endpoints of the bad one may still be running.
 #[test]
 fn endpoints_of_a_release_that_was_rolled_back_get_no_work_until_they_restart() {
     let mut registry = Registry::default();
@@ -333,7 +333,7 @@
         .merge(Registration { sequence: 9, ..registration_of_release("bad", "v2", 900) }, Direct);
     assert_eq!(ready_ids(&registry), ["old"]);
     assert_eq!(registry.get("bad").unwrap().state, EndpointState::Leaving);
-    // It takes work again after a restart.
+    // It accepts requests again after a restart.
     registry.merge(registration_of_release("bad", "v2", 2_000), Direct);
     assert_eq!(ready_ids(&registry), ["bad", "old"]);
 }
