--- a/src/feed/subscribe.rs
+++ b/src/feed/subscribe.rs
@@ -163,8 +163,8 @@
         self.sources_changed.notify_one();
     }
 
-    /// Reports the leaving endpoints to a control host that was out of reach: it may know as
-    /// ready endpoints that announced to this router that they are leaving.
+    /// Reports the leaving endpoints to a control host that was out of reach: it may have
+    /// recorded endpoints as ready that announced to this router that they are leaving.
     fn send_leaving(&self, requests: &BatchSender<FeedRequest>) {
         let leaving = self.fleet_state.registry.read(|registry| registry.leaving(MAX_LEAVING));
         if self.role == Role::Router && !leaving.is_empty() {
@@ -216,7 +216,7 @@
 
     /// Requests the routers of a data hall from a control host. The leader is chosen only where
     /// there is no other, since it has the highest load.
-    pub fn ask_for_neighbours(&self, hall: &str) {
+    pub fn request_neighbours(&self, hall: &str) {
         let leader = self.leader();
         let table_sources = self.table_sources();
         let chosen = table_sources.requests.iter().min_by_key(|(host, _)| Some(**host) == leader);
