--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -89,7 +89,7 @@
     let (fleet, _replicas) = fleet_with(&[behaviour]).await;
     for id in ["s1", "s2"] {
         let answer = call(fleet.front, &post("/stream/x", id, "")).await;
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.complete), (200, true));
         let events: String = (1..=5).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
         assert_eq!(answer.body, events);
     }
@@ -240,7 +240,7 @@
     assert_eq!(answer.header("bramblecrank-replica-seal").map(|s| s.len()), Some(8));
     let events: Vec<_> = answer.body.lines().filter(|line| line.starts_with("id:")).collect();
     assert_eq!(events, ["id: 1", "id: 2", "id: 3", "id: 4"]);
-    assert!(!answer.whole, "the second break leaves a visible end");
+    assert!(!answer.complete, "the second break leaves a visible end");
     let seen: Vec<_> = replicas.iter().flat_map(Replica::seen).collect();
     let resumed = seen.iter().filter(|s| s.header("last-event-id") == Some("2")).count();
     assert_eq!((seen.len(), resumed), (2, 1));
@@ -251,7 +251,7 @@
     let (fleet, replicas) = fleet_with(&[Behaviour::BreakStream, Behaviour::BreakStream]).await;
     let answer = call(fleet.front, &get("/stream/x", "r1")).await;
     assert_eq!(answer.status, 200);
-    assert!(!answer.whole);
+    assert!(!answer.complete);
     assert_eq!(replicas.iter().map(|r| r.seen().len()).sum::<usize>(), 1);
 }
 
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -171,7 +171,7 @@
         tokio::spawn(async move {
             let body = format!("innocent {caller}");
             let mut answers = Vec::new();
-            while answers.last().is_none_or(|answer: &Answer| !answer.whole) {
+            while answers.last().is_none_or(|answer: &Answer| !answer.complete) {
                 let id = format!("innocent-{caller}-{}", answers.len());
                 answers.push(call(router, &post("/stream/x", &id, &body)).await);
             }
--- a/tests/platform/handover.rs
+++ b/tests/platform/handover.rs
@@ -39,7 +39,7 @@
     for number in 0..5 {
         let id = format!("h{number}");
         let answer = call(fleet.front, &post("/once/x", &id, "the body")).await;
-        assert_eq!((answer.status, answer.whole), (200, true));
+        assert_eq!((answer.status, answer.complete), (200, true));
         assert_eq!(answer.body, format!("answer to {id}"));
         assert_eq!(answer.header("bramblecrank-replica-seal"), Some("seal-i-0"));
         assert_eq!(runs(&replicas, &id), 1);
@@ -52,7 +52,7 @@
     let behaviour = Behaviour::Stream { events: 5, pause: Duration::from_millis(5) };
     let (fleet, _replicas) = fleet_of_two(behaviour).await;
     let answer = call(fleet.front, &post("/stream/x", "s1", "")).await;
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.complete), (200, true));
     let events: String = (1..=5).map(|n| format!("id: {n}\ndata: x\n\n")).collect();
     assert_eq!(answer.body, events);
 }
@@ -75,7 +75,7 @@
     caller.readable().await.unwrap();
     fleet.kill_neighbour();
     let answer = read_answer(&mut caller).await;
-    assert!(answer.is_none_or(|answer| !answer.whole));
+    assert!(answer.is_none_or(|answer| !answer.complete));
     assert_eq!(runs(&replicas, "lost"), 1);
 }
 
@@ -86,7 +86,7 @@
     replicas[0].wait_for(|replica| runs(std::slice::from_ref(replica), "lost") == 1).await;
     fleet.kill_neighbour();
     let answer = read_answer(&mut caller).await.unwrap();
-    assert_eq!((answer.status, answer.whole), (502, true));
+    assert_eq!((answer.status, answer.complete), (502, true));
     assert_eq!(runs(&replicas, "lost"), 1);
 }
 
--- a/tests/platform/http.rs
+++ b/tests/platform/http.rs
@@ -12,7 +12,7 @@
     pub headers: Vec<(String, String)>,
     pub body: String,
     /// Whether the body came to its end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Answer {
@@ -61,14 +61,14 @@
         .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_string()))
         .collect();
     let header = |name: &str| headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.clone());
-    let (body, whole) = match header("content-length") {
+    let (body, complete) = match header("content-length") {
         Some(length) => {
             let length: usize = length.parse().ok()?;
             (rest.chars().take(length).collect(), rest.len() >= length)
         }
         None => chunked(rest),
     };
-    (whole || ended).then_some(Answer { status, headers, body, whole })
+    (complete || ended).then_some(Answer { status, headers, body, complete })
 }
 
 fn chunked(mut rest: &str) -> (String, bool) {
--- a/tests/platform/regions.rs
+++ b/tests/platform/regions.rs
@@ -142,12 +142,12 @@
     let pause = Duration::from_millis(2);
     let regions = start(Behaviour::BreakStream, Behaviour::Stream { events: 5, pause }).await;
     let answer = call(regions.fleet.front, &post("/resumable/x", "free", "")).await;
-    assert!(answer.whole, "unbound, it goes on in the other region");
+    assert!(answer.complete, "unbound, it goes on in the other region");
     let (_, far) = regions.seen();
     assert!(far > 0);
     regions.bind(101, r#"["near"]"#, "[]").await;
     let answer = call(regions.fleet.front, &post("/resumable/x", "bound", "")).await;
-    assert!(!answer.whole);
+    assert!(!answer.complete);
     assert_eq!(regions.seen().1, far);
 }
 
--- a/tests/platform/releases.rs
+++ b/tests/platform/releases.rs
@@ -132,7 +132,7 @@
     while !stop.load(Ordering::Relaxed) {
         let id = format!("c{number}-{}", asked.fetch_add(1, Ordering::Relaxed));
         let answer = call(front, &get("/safe/x", &id)).await;
-        if answer.status != 200 || !answer.whole {
+        if answer.status != 200 || !answer.complete {
             failed.push(answer.status);
         }
         tokio::time::sleep(PAUSE).await;
@@ -204,6 +204,6 @@
     assert_eq!(answer.status, 200);
     let events: Vec<_> = answer.body.lines().filter(|line| line.starts_with("id:")).collect();
     assert_eq!(events, ["id: 1", "id: 2"]);
-    assert!(!answer.whole, "the caller sees that it broke off");
+    assert!(!answer.complete, "the caller sees that it broke off");
     assert_eq!(Releases::seen(&releases.old) + Releases::seen(&releases.new), 1);
 }
--- a/tests/soak/actors.rs
+++ b/tests/soak/actors.rs
@@ -136,7 +136,7 @@
     let asked = Instant::now();
     let answer = ask_control(stage.fleet.control(control), "GET", "/config", "").await?;
     let text = answer.body;
-    if answer.status != 200 || !answer.whole {
+    if answer.status != 200 || !answer.complete {
         return None;
     }
     let version = text.split_once(',')?.0.rsplit(':').next()?.parse().ok()?;
@@ -169,7 +169,7 @@
         let answer = call(&mut connection, front, &id, once).await;
         let told = Told { life, asked, answered: Instant::now() };
         let told = Some(told).filter(|_| answer.is_some() && stage.fleet.life(host) == life);
-        let answer = answer.map(|a| (a.status, a.body, a.whole));
+        let answer = answer.map(|a| (a.status, a.body, a.complete));
         stage.note(|h| h.calls.push(Call { id, router, told, once, answer }));
         tokio::time::sleep(CALL_PAUSE).await;
     }
@@ -193,7 +193,7 @@
         };
         stream.write_all(text.as_bytes()).await.ok()?;
         let answer = read_answer(&mut stream).await?;
-        if answer.whole && answer.header("connection") != Some("close") {
+        if answer.complete && answer.header("connection") != Some("close") {
             *connection = Some(stream);
         }
         Some(answer)
@@ -284,7 +284,7 @@
     let control = stage.fleet.control(rng.random_range(0..stage.fleet.size.controls));
     let answer = ask_control(control, "GET", "/rollouts/app", "").await?;
     let said = match answer.status {
-        200 if answer.whole => {
+        200 if answer.complete => {
             let text = |name: &str| {
                 let value = answer.body.split_once(&format!(r#""{name}":""#))?.1;
                 Some(value.split_once('"')?.0.to_string())
@@ -305,7 +305,7 @@
     let stamp = Instant::now();
     let id = format!("s{number}-{stamp:?}").replace([' ', '{', '}', ':', ','], "");
     let answer = call(&mut None, stage.fleet.front(number), &id, false).await;
-    let answer = answer.map(|a| (a.status, a.body, a.whole));
+    let answer = answer.map(|a| (a.status, a.body, a.complete));
     let served = answer.as_ref().is_some_and(|(status, ..)| *status == 200);
     stage.note(|h| h.calls.push(Call { id, router: number, told: None, once: false, answer }));
     served
--- a/tests/soak/crashers.rs
+++ b/tests/soak/crashers.rs
@@ -87,7 +87,7 @@
         let body = format!("innocent {}", self.asked);
         let (id, answer) = self.ask(router, &body).await;
         let is_mistaken = answer.as_ref().is_some_and(|a| a.body == "crashes_endpoints");
-        let answer = answer.map(|answer| (answer.status, answer.body, answer.whole));
+        let answer = answer.map(|answer| (answer.status, answer.body, answer.complete));
         self.stage.note(|h| {
             if is_mistaken {
                 h.mistaken.push(id.clone());
