--- a/examples/spread.rs
+++ b/examples/spread.rs
@@ -10,7 +10,7 @@
 use bramblecrank::config::{Change, Config, Customer, Document, History};
 use bramblecrank::peer::{Incoming, Peers};
 use bramblecrank::settings::HostSettings;
-use bramblecrank::spread::{self, Configs};
+use bramblecrank::spread::{self, CurrentConfig};
 use bramblecrank::wire::{HostId, Open, Role};
 use tokio::sync::mpsc;
 
@@ -18,7 +18,7 @@
 
 struct Host {
     peers: Arc<Peers>,
-    configs: Arc<Configs>,
+    configs: Arc<CurrentConfig>,
 }
 
 #[tokio::main]
@@ -87,16 +87,20 @@
     };
     let role = if n == 0 { Role::Control } else { Role::Router };
     let (peers, incoming) = Peers::start(&settings, role, address(n)).await.expect("a free port");
-    let configs = Arc::new(Configs::default());
+    let configs = Arc::new(CurrentConfig::default());
     tokio::spawn(answer(configs.clone(), peers.clone(), incoming));
     match n {
-        0 => tokio::spawn(spread::follow_version(configs.clone(), peers.clone())),
-        _ => tokio::spawn(spread::follow(configs.clone(), peers.clone())),
+        0 => tokio::spawn(spread::announce_version(configs.clone(), peers.clone())),
+        _ => tokio::spawn(spread::pull_updates(configs.clone(), peers.clone())),
     };
     Host { peers, configs }
 }
 
-async fn answer(configs: Arc<Configs>, peers: Arc<Peers>, mut incoming: mpsc::Receiver<Incoming>) {
+async fn answer(
+    configs: Arc<CurrentConfig>,
+    peers: Arc<Peers>,
+    mut incoming: mpsc::Receiver<Incoming>,
+) {
     while let Some(Incoming { open, writer, .. }) = incoming.recv().await {
         if let Open::Pull { held_version, .. } = open {
             let sent = peers.sent.clone();
--- a/src/control.rs
+++ b/src/control.rs
@@ -38,7 +38,7 @@
 use crate::rollout::{Progress, SharedRollouts};
 use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
-use crate::spread::{self, Configs};
+use crate::spread::{self, CurrentConfig};
 use crate::store::{Disk, RecoveredState};
 use crate::wire::{HostId, Open, Role, Traffic};
 
@@ -63,7 +63,7 @@
     /// Connections to the other hosts.
     pub peers: Arc<Peers>,
     /// The newest accepted configuration that this host has applied or received.
-    pub configs: Arc<Configs>,
+    pub configs: Arc<CurrentConfig>,
     /// The newest routing in force that this host has applied or received.
     pub documents: Arc<CurrentRouting>,
     /// Endpoints that registered themselves with this or another host.
@@ -134,7 +134,7 @@
     }
     let role = Role::Control;
     let (peers, incoming) = Peers::start(&settings.host, role, settings.operator).await?;
-    let configs = Arc::new(Configs::default());
+    let configs = Arc::new(CurrentConfig::default());
     let fleet_state = FleetState::default();
     let FleetState { documents, registry, rollouts, quarantine } = fleet_state.clone();
     registry.remember(saved::load(&settings.data));
@@ -175,7 +175,7 @@
     });
     tokio::spawn(accept_connections(control.clone(), incoming));
     tokio::spawn(bootstrap::bootstrap(control.clone()));
-    tokio::spawn(spread::follow_version(control.configs.clone(), control.peers.clone()));
+    tokio::spawn(spread::announce_version(control.configs.clone(), control.peers.clone()));
     tokio::spawn(rollout_controller::run(control.clone()));
     tokio::spawn(quarantine_controller::run(control.clone()));
     tokio::spawn(crate::operator::serve_control(control.clone()));
--- a/src/control/published.rs
+++ b/src/control/published.rs
@@ -4,11 +4,11 @@
 
 use super::state::State;
 use crate::feed::FleetState;
-use crate::spread::Configs;
+use crate::spread::CurrentConfig;
 
 /// The agreed state as the other parts of a control host see it.
 pub(super) struct PublishedState {
-    pub configs: Arc<Configs>,
+    pub configs: Arc<CurrentConfig>,
     pub fleet_state: FleetState,
 }
 
--- a/src/control/tests/folder.rs
+++ b/src/control/tests/folder.rs
@@ -13,7 +13,7 @@
 use crate::registry::SharedRegistry;
 use crate::routing::CurrentRouting;
 use crate::settings::ControlSettings;
-use crate::spread::Configs;
+use crate::spread::CurrentConfig;
 use crate::store::Disk;
 use crate::testing::{peer_address, start_peers, wait_until};
 use crate::wire::{HostId, Role};
@@ -51,7 +51,7 @@
 }
 
 struct Started {
-    configs: Arc<Configs>,
+    configs: Arc<CurrentConfig>,
     documents: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     task: tokio::task::JoinHandle<Result<()>>,
@@ -60,7 +60,7 @@
 
 async fn start(folder: &TempDir, host: u8) -> Result<Started> {
     let (peers, _incoming) = start_peers(Role::Control, host, vec![]).await;
-    let configs = Arc::new(Configs::default());
+    let configs = Arc::new(CurrentConfig::default());
     let fleet_state = FleetState::default();
     let FleetState { documents, registry, .. } = fleet_state.clone();
     let published = PublishedState { configs: configs.clone(), fleet_state };
--- a/src/router/dispatchers.rs
+++ b/src/router/dispatchers.rs
@@ -12,7 +12,7 @@
 use crate::config::ServiceId;
 use crate::dispatch::{Decision, Dispatcher, Snapshot};
 use crate::peer::{PeerReader, Peers};
-use crate::spread::Configs;
+use crate::spread::CurrentConfig;
 use crate::telemetry::{RequestId, Trace};
 use crate::wire::{BatchSender, BatchWriter, FromDispatcher, HostId, QueuedMessage, ToDispatcher};
 
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct Dispatchers {
     peers: Arc<Peers>,
-    configs: Arc<Configs>,
+    configs: Arc<CurrentConfig>,
     leaving: watch::Receiver<LeavingEndpoints>,
     trace: Arc<Trace>,
     divisor: u32,
@@ -53,7 +53,7 @@
     /// Creates an empty set of dispatchers, each of which uses 1/`divisor` of the slots.
     pub fn new(
         peers: Arc<Peers>,
-        configs: Arc<Configs>,
+        configs: Arc<CurrentConfig>,
         leaving: watch::Receiver<LeavingEndpoints>,
         trace: Arc<Trace>,
         divisor: u32,
@@ -170,7 +170,7 @@
     async fn run(
         mut self,
         mut events: mpsc::Receiver<Event>,
-        configs: Arc<Configs>,
+        configs: Arc<CurrentConfig>,
         mut leaving: watch::Receiver<LeavingEndpoints>,
     ) {
         let mut config = configs.watch();
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -22,7 +22,7 @@
 use crate::peer::Peers;
 use crate::quarantine::{CrashGuard, report_crashes};
 use crate::settings::{DispatchMode, RouterSettings};
-use crate::spread::{self, Configs};
+use crate::spread::{self, CurrentConfig};
 use crate::telemetry::{Metrics, RequestId, Trace};
 use crate::wire::Role;
 
@@ -40,7 +40,7 @@
     /// Connections to the other hosts, and the view of them.
     pub peers: Arc<Peers>,
     /// The configuration in force and its history.
-    pub configs: Arc<Configs>,
+    pub configs: Arc<CurrentConfig>,
     /// Dispatchers that run on this host.
     pub dispatchers: Dispatchers,
     /// Recent decisions, for `explain`.
@@ -77,7 +77,7 @@
         peers: Arc<Peers>,
         stop: CancellationToken,
     ) -> Arc<Router> {
-        let configs = Arc::new(Configs::default());
+        let configs = Arc::new(CurrentConfig::default());
         let leaving = watch::Sender::new(LeavingEndpoints::default());
         let trace = Arc::new(Trace::default());
         let divisor = match settings.dispatch {
@@ -123,7 +123,7 @@
 
     /// Starts the background tasks.
     pub(super) fn start_tasks(self: &Arc<Self>) {
-        tokio::spawn(spread::follow(self.configs.clone(), self.peers.clone()));
+        tokio::spawn(spread::pull_updates(self.configs.clone(), self.peers.clone()));
         tokio::spawn(follow_platform(self.clone()));
         tokio::spawn(super::reach::follow(self.clone()));
         tokio::spawn(copy_metrics(self.clone()));
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -20,15 +20,15 @@
 
 /// The configuration in force in this process, and recent deltas.
 #[derive(Debug)]
-pub struct Configs {
+pub struct CurrentConfig {
     history: Mutex<History>,
     current: watch::Sender<Arc<Config>>,
     since_ms: Mutex<u64>,
 }
 
-impl Default for Configs {
+impl Default for CurrentConfig {
     fn default() -> Self {
-        Configs {
+        CurrentConfig {
             history: Mutex::default(),
             current: watch::Sender::new(Arc::default()),
             since_ms: Mutex::new(epoch_ms()),
@@ -36,7 +36,7 @@
     }
 }
 
-impl Configs {
+impl CurrentConfig {
     /// The configuration in force.
     pub fn current(&self) -> Arc<Config> {
         self.current.borrow().clone()
@@ -94,7 +94,7 @@
 
 /// Answers a peer's pull.
 pub async fn answer_pull(
-    configs: Arc<Configs>,
+    configs: Arc<CurrentConfig>,
     sent: SentBytes,
     held_version: u64,
     mut writer: OwnedWriteHalf,
@@ -107,7 +107,7 @@
 }
 
 /// Pulls whenever a live member has a newer version than this process.
-pub async fn follow(configs: Arc<Configs>, peers: Arc<Peers>) {
+pub async fn pull_updates(configs: Arc<CurrentConfig>, peers: Arc<Peers>) {
     let mut view = peers.watch();
     loop {
         let held_version = configs.current().version;
@@ -148,7 +148,7 @@
 }
 
 /// Says the newest accepted version in this host's heartbeats.
-pub async fn follow_version(configs: Arc<Configs>, peers: Arc<Peers>) {
+pub async fn announce_version(configs: Arc<CurrentConfig>, peers: Arc<Peers>) {
     let mut current = configs.watch();
     loop {
         let version = current.borrow_and_update().version;
