--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The real programs on the users' platform, played by stand-ins: a replica, an
-//! operator and clients that speak its published protocol.
+//! End-to-end tests of the real binaries on the users' platform. Emulated replicas, operators
+//! and clients talk to them in the platform's published protocol.
 
 #[path = "platform/crashes.rs"]
 mod crashes;
@@ -19,7 +19,7 @@
 mod registrations;
 #[path = "platform/releases.rs"]
 mod releases;
-// Shared with the soak, which uses more of it.
+// Shared with the soak test, which uses more of it.
 #[allow(dead_code)]
 #[path = "platform/replica.rs"]
 mod replica;
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_request_reaches_a_replica_as_the_client_sent_it() {
+async fn a_request_reaches_a_replica_unchanged() {
     let (fleet, replicas) = fleet_with(&[Behaviour::Answer]).await;
     let answer = call(fleet.front, &post("/once/a%20b?q=1", "r1", "the body")).await;
     assert_eq!(answer.status, 200);
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_comes_whole_and_in_order() {
+async fn a_stream_arrives_complete_and_in_order() {
     let behaviour = Behaviour::Stream { events: 5, pause: Duration::from_millis(2) };
     let (fleet, _replicas) = fleet_with(&[behaviour]).await;
     for id in ["s1", "s2"] {
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn bad_requests_get_the_error_that_names_them() {
+async fn bad_requests_get_the_matching_status() {
     let (fleet, replicas) = fleet_with(&[Behaviour::Answer]).await;
     let status = async |text: &str| call(fleet.front, text).await.status;
     assert_eq!(status(&get("/nowhere/", "r1")).await, 404);
@@ -108,7 +108,7 @@
     assert_eq!(status("garbage\r\n\r\n").await, 400);
     let header = format!("X-Large: {}\r\n", "y".repeat(64 << 10));
     assert_eq!(status(&request("GET", "/safe/x", "r6", &header, "")).await, 431);
-    // Half a request harms nobody else.
+    // An incomplete request does not affect others.
     let _half = open(fleet.front, "POST /once/x HTTP/1.1\r\nHost: shop.example\r\n").await;
     assert_eq!(status(&get("/safe/x", "r7")).await, 200);
     let served: Vec<_> = replicas[0].seen().iter().map(|seen| seen.id()).collect();
@@ -116,11 +116,11 @@
 }
 
 #[tokio::test]
-async fn a_router_that_may_be_behind_says_so_instead_of_denying_a_route() {
+async fn a_router_without_a_feed_answers_503_instead_of_404() {
     let (mut fleet, replicas) = fleet_with(&[Behaviour::Answer]).await;
     let wrong_key = request("GET", "/safe/x", "r1", "Api-Key: new\r\n", "");
     fleet.kill_control();
-    // Until the router has seen its feed end, it knows no better.
+    // Until the router has noticed that its feed ended, it still answers 404.
     while call(fleet.front, &get("/new/x", "r2")).await.status == 404 {}
     let answer = call(fleet.front, &get("/new/x", "r3")).await;
     assert_eq!((answer.status, answer.body.as_str()), (503, "routing_unconfirmed"));
@@ -129,7 +129,7 @@
     assert_eq!(
         call(fleet.front, &get("/safe/x", "r4")).await.status,
         200,
-        "it serves what it knows"
+        "it serves the last known configuration"
     );
     assert_eq!(replicas[0].seen().len(), 1);
     fleet.start_control();
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn before_any_configuration_requests_are_refused_and_not_denied() {
+async fn requests_before_the_first_configuration_are_answered_503() {
     let fleet = Fleet::start().await;
     let answer = call(fleet.front, &get("/safe/x", "r1")).await;
     assert_eq!(answer.status, 503);
@@ -148,16 +148,19 @@
 }
 
 #[tokio::test]
-async fn what_may_run_once_is_not_sent_again_when_its_answer_is_lost() {
+async fn a_run_once_request_is_not_retried_after_a_lost_answer() {
     let (fleet, replicas) = fleet_with(&[Behaviour::RunAndReset, Behaviour::RunAndReset]).await;
     let answer = call(fleet.front, &post("/once/x", "r1", "seat 5")).await;
-    assert_eq!(answer.status, 502, "nothing may be promised of a run that may have been");
+    assert_eq!(
+        answer.status, 502,
+        "the request may have run, so the answer must not say that it did not"
+    );
     let runs: usize = replicas.iter().map(|r| r.seen().len()).sum();
     assert_eq!(runs, 1);
 }
 
 #[tokio::test]
-async fn what_may_be_repeated_is_sent_to_another_replica() {
+async fn an_idempotent_request_is_retried_at_another_replica() {
     for lost in [Behaviour::RunAndReset, Behaviour::Fail, Behaviour::OtherId, Behaviour::CutShort] {
         let (fleet, _replicas) = fleet_with(&[lost.clone(), Behaviour::Answer]).await;
         for number in 0..4 {
@@ -170,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_is_not_the_requests_own_is_never_passed_on() {
+async fn an_answer_to_another_request_is_never_forwarded() {
     for wrong in [Behaviour::OtherId, Behaviour::Unsealed, Behaviour::CutShort] {
         let (fleet, _replicas) = fleet_with(std::slice::from_ref(&wrong)).await;
         let answer = call(fleet.front, &post("/once/x", "r1", "")).await;
@@ -179,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn what_no_replica_ran_is_promised_not_to_have_run() {
+async fn a_request_that_no_replica_ran_is_answered_as_not_run() {
     let (fleet, _replicas) = fleet_with(&[Behaviour::Full]).await;
     let answer = call(fleet.front, &post("/once/x", "r1", "")).await;
     assert_eq!(answer.status, 503);
@@ -188,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_is_full_is_passed_over() {
+async fn a_request_refused_by_a_full_replica_is_sent_to_another() {
     let (fleet, _replicas) = fleet_with(&[Behaviour::Full, Behaviour::Answer]).await;
     for number in 0..4 {
         let answer = call(fleet.front, &post("/once/x", &format!("r{number}"), "")).await;
@@ -205,17 +208,17 @@
 }
 
 #[tokio::test]
-async fn after_the_time_of_its_route_a_request_has_its_final_answer() {
+async fn a_request_is_answered_504_after_its_routes_timeout() {
     let (fleet, _replicas) = fleet_with(&[Behaviour::Hang]).await;
     let answer = call(fleet.front, &post("/once/x", "r1", "")).await;
     assert_eq!(answer.status, 504);
 }
 
 #[tokio::test]
-async fn a_leaving_replica_gets_nothing_new_once_that_is_acknowledged() {
+async fn a_leaving_replica_gets_no_new_requests_after_the_acknowledgement() {
     let (fleet, replicas) = fleet_with(&[Behaviour::Answer, Behaviour::Answer]).await;
     fleet.register(&replicas[0], "draining", 2).await;
-    // A heartbeat from before does not bring it back.
+    // An older heartbeat does not make it available again.
     fleet.register(&replicas[0], "ready", 1).await;
     fleet.settle().await;
     let before = replicas[0].seen().len();
@@ -230,24 +233,24 @@
 }
 
 #[tokio::test]
-async fn events_pass_and_a_broken_stream_goes_on_where_that_is_allowed() {
+async fn a_truncated_stream_is_resumed_if_its_route_allows_it() {
     let breaks = [Behaviour::BreakStream, Behaviour::BreakStream];
     let (fleet, replicas) = fleet_with(&breaks).await;
-    // Each replica breaks off behind its second event; the second one begins at
-    // the third, so that all four events come once and in order.
+    // Each replica truncates its stream after two events; the second replica resumes at the
+    // third event, so that all four events arrive once and in order.
     let answer = call(fleet.front, &get("/resumable/x", "r1")).await;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.header("bramblecrank-replica-seal").map(|s| s.len()), Some(8));
     let events: Vec<_> = answer.body.lines().filter(|line| line.starts_with("id:")).collect();
     assert_eq!(events, ["id: 1", "id: 2", "id: 3", "id: 4"]);
-    assert!(!answer.complete, "the second break leaves a visible end");
+    assert!(!answer.complete, "the client sees that the second stream was truncated");
     let seen: Vec<_> = replicas.iter().flat_map(Replica::seen).collect();
     let resumed = seen.iter().filter(|s| s.header("last-event-id") == Some("2")).count();
     assert_eq!((seen.len(), resumed), (2, 1));
 }
 
 #[tokio::test]
-async fn a_broken_stream_that_may_run_once_breaks_visibly() {
+async fn a_truncated_stream_of_a_route_that_is_not_resumable_stays_truncated() {
     let (fleet, replicas) = fleet_with(&[Behaviour::BreakStream, Behaviour::BreakStream]).await;
     let answer = call(fleet.front, &get("/stream/x", "r1")).await;
     assert_eq!(answer.status, 200);
@@ -256,21 +259,22 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_ends_the_run() {
+async fn a_client_disconnect_cancels_the_run() {
     let (fleet, replicas) = fleet_with(&[Behaviour::Hang]).await;
     let connection = open(fleet.front, &post("/once/x", "r1", "")).await;
     replicas[0].wait_for(|replica| replica.seen().len() == 1).await;
     drop(connection);
-    replicas[0].wait_for(|replica| replica.left() == 1).await;
+    replicas[0].wait_for(|replica| replica.abandoned() == 1).await;
 }
 
 #[tokio::test]
-async fn a_configuration_is_replaced_by_higher_versions_only() {
+async fn only_a_higher_version_replaces_a_configuration() {
     let (fleet, _replicas) = fleet_with(&[Behaviour::Answer]).await;
     let five = configuration(5).replace("/safe/", "/moved/");
     fleet.configure(&five).await;
     assert_eq!(fleet.read_configuration().await, five);
-    // Resent, older and forged ones are acknowledged and change nothing.
+    // A resent, an older and a different configuration of the same version are acknowledged
+    // and change nothing.
     for text in [&five, &configuration(3), &configuration(5)] {
         assert_eq!(fleet.put_configuration(text).await, 200);
         assert_eq!(fleet.read_configuration().await, five);
@@ -292,12 +296,12 @@
 }
 
 #[tokio::test]
-async fn what_was_acknowledged_outlives_the_process() {
+async fn an_acknowledged_configuration_survives_a_restart() {
     let (mut fleet, replicas) = fleet_with(&[Behaviour::Answer]).await;
     let seven = configuration(7);
     fleet.configure(&seven).await;
     fleet.kill_control();
-    // What routers know they keep.
+    // Routers keep the last known configuration.
     assert_eq!(call(fleet.front, &get("/safe/x", "r1")).await.status, 200);
     fleet.start_control();
     assert_eq!(fleet.read_configuration().await, seven);
@@ -309,7 +313,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing() {
+async fn a_graceful_stop_completes_running_requests() {
     let slow = Behaviour::Slow(Duration::from_millis(1_200));
     let (mut fleet, replicas) = fleet_with(&[slow]).await;
     let under_way = tokio::spawn({
@@ -319,8 +323,8 @@
     replicas[0].wait_for(|replica| replica.seen().len() == 1).await;
     fleet.hang_up_router();
     fleet.terminate_router();
-    // The signal takes a moment to arrive; from then on it is not ready, though it
-    // still serves.
+    // After the signal the router reports that it is not ready, but still serves running
+    // requests.
     fleet.wait_not_ready().await;
     assert_eq!(under_way.await.unwrap().status, 200);
     fleet.wait_router_end().await;
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -1,11 +1,10 @@
-//! A request that crashes every endpoint that runs it, and comes again and again.
+//! A request that crashes every endpoint that runs it, and is resent repeatedly.
 //!
-//! Callers saw answers break off all over the fleet for a quarter of a minute: one request
-//! came again some times a second, at any router, and each time an endpoint began to run it
-//! and ended with all that ran there. Twelve ended. The routers' logs of such a day show that
-//! the endpoints were lost one after the other, by several routers within a millisecond each
-//! time, and that in every one of them a run of the same fingerprint was among the lost.
-//! Routers counted repeats within one arrival only, so that nobody knew that it came again.
+//! Guards against a crashing request that takes down endpoint after endpoint. One request was
+//! resent several times a second through any router; each endpoint that ran it crashed together
+//! with its other requests. Twelve endpoints crashed within a quarter of a minute, and answers
+//! were truncated all over the fleet. Routers counted repeats only within one arrival of a
+//! request, so none recognised it, although a run of the same fingerprint was lost each time.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,14 +14,14 @@
 use crate::replica::{Behaviour, Replica};
 use crate::{get, post};
 
-/// What crashes a replica.
-const CRASHES: &str = "the body that crashes";
-/// How long the fleet may take to learn of the third crash.
-const TO_LEARN: Duration = Duration::from_secs(3);
-/// Between two requests.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Request body that crashes a replica.
+const CRASHING_BODY: &str = "the body that crashes";
+/// Maximum time until all routers have learnt of the third crash.
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(3);
+/// Pause between two requests.
+const RESEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Replicas of which those that have crashed are followed by others.
+/// Live replicas; a new one is started for each that has crashed.
 struct Replicas {
     behaviour: Behaviour,
     live: Vec<Replica>,
@@ -33,7 +32,7 @@
     async fn start(fleet: &Fleet, number: usize, others: Behaviour) -> Replicas {
         let after = Duration::from_millis(30);
         let others = Box::new(others);
-        let behaviour = Behaviour::CrashOn { body: CRASHES, after, others };
+        let behaviour = Behaviour::CrashOn { body: CRASHING_BODY, after, others };
         let mut replicas = Replicas { behaviour, live: Vec::new(), crashed: 0 };
         for _ in 0..number {
             replicas.add(fleet).await;
@@ -48,7 +47,7 @@
         self.live.push(replica);
     }
 
-    /// Starts another replica for each that has crashed; returns how many had crashed in all.
+    /// Starts a new replica for each that has crashed; returns the total number of crashes.
     async fn replace(&mut self, fleet: &Fleet) -> usize {
         let before = self.live.len();
         self.live.retain(|replica| !replica.has_crashed());
@@ -61,9 +60,9 @@
     }
 }
 
-/// Sends the request that crashes replicas, at one router after the other, until `is_over`
-/// of how often replicas have crashed.
-async fn ask_until(
+/// Sends the crashing request to both routers in turn until `is_over` returns true for the total
+/// number of crashes.
+async fn send_until(
     fleet: &Fleet,
     replicas: &mut Replicas,
     path: &str,
@@ -72,14 +71,14 @@
     let mut answers = Vec::new();
     while !is_over(replicas.replace(fleet).await) {
         let router = [fleet.front, fleet.neighbour][answers.len() % 2];
-        answers.push(ask(router, path, answers.len()).await);
-        tokio::time::sleep(PAUSE).await;
+        answers.push(send(router, path, answers.len()).await);
+        tokio::time::sleep(RESEND_INTERVAL).await;
     }
     answers
 }
 
-async fn ask(router: SocketAddr, path: &str, number: usize) -> Answer {
-    call(router, &post(path, &format!("crash-{number}"), CRASHES)).await
+async fn send(router: SocketAddr, path: &str, number: usize) -> Answer {
+    call(router, &post(path, &format!("crash-{number}"), CRASHING_BODY)).await
 }
 
 async fn fleet_of_two_routers(others: Behaviour) -> (Fleet, Replicas) {
@@ -91,20 +90,20 @@
     (fleet, replicas)
 }
 
-/// Asks until three replicas have crashed, and then for as long as the fleet may take to
-/// learn it.
+/// Sends the crashing request until three replicas have crashed, and then until all routers must
+/// have learnt of it.
 async fn crash_three(fleet: &Fleet, replicas: &mut Replicas, path: &str) {
-    ask_until(fleet, replicas, path, |crashed| crashed >= 3).await;
-    let learnt_by = Instant::now() + TO_LEARN;
-    ask_until(fleet, replicas, path, |_| Instant::now() >= learnt_by).await;
+    send_until(fleet, replicas, path, |crashed| crashed >= 3).await;
+    let deadline = Instant::now() + MAX_DETECTION_TIME;
+    send_until(fleet, replicas, path, |_| Instant::now() >= deadline).await;
 }
 
-/// Sends the request some more times; no replica may run it, and its callers are told so.
-async fn is_refused(fleet: &Fleet, replicas: &mut Replicas, path: &str) {
+/// Sends the request ten more times; it must be refused each time and crash no replica.
+async fn assert_refused(fleet: &Fleet, replicas: &mut Replicas, path: &str) {
     let before = replicas.crashed;
     for number in 0..10 {
         let router = [fleet.front, fleet.neighbour][number % 2];
-        let answer = ask(router, path, number).await;
+        let answer = send(router, path, number).await;
         assert_eq!(replicas.replace(fleet).await, before, "a replica ran it again");
         assert_eq!((answer.status, answer.body.as_str()), (503, "crashes_endpoints"));
         assert!(answer.header("retry-after").is_some());
@@ -115,36 +114,36 @@
 async fn a_request_that_crashed_three_endpoints_is_refused_by_every_router() {
     let (fleet, mut replicas) = fleet_of_two_routers(Behaviour::Answer).await;
     crash_three(&fleet, &mut replicas, "/stream/x").await;
-    is_refused(&fleet, &mut replicas, "/stream/x").await;
-    // All other requests are served, the same customer's and the same path's too.
+    assert_refused(&fleet, &mut replicas, "/stream/x").await;
+    // Other requests are served, also from the same customer and for the same path.
     for router in [fleet.front, fleet.neighbour] {
-        is_served(router, &post("/once/x", "other", "another body")).await;
-        is_served(router, &get("/safe/x", "other")).await;
+        assert_served(router, &post("/once/x", "other", "another body")).await;
+        assert_served(router, &get("/safe/x", "other")).await;
     }
 }
 
-/// Sends a request until it is served: the first tries may meet endpoints that are gone.
-async fn is_served(router: SocketAddr, request: &str) {
+/// Sends a request until it is served; the first attempts may reach crashed endpoints.
+async fn assert_served(router: SocketAddr, request: &str) {
     loop {
         let answer = call(router, request).await;
         assert_ne!(answer.body, "crashes_endpoints");
         match answer.status {
             200 => return,
-            503 => tokio::time::sleep(PAUSE).await,
+            503 => tokio::time::sleep(RESEND_INTERVAL).await,
             status => panic!("it got {status}"),
         }
     }
 }
 
 #[tokio::test]
-async fn a_stream_that_is_taken_up_elsewhere_is_refused_as_well() {
+async fn a_crashing_stream_that_is_resumed_elsewhere_is_refused() {
     let (fleet, mut replicas) = fleet_of_two_routers(Behaviour::Answer).await;
     crash_three(&fleet, &mut replicas, "/resumable/x").await;
-    is_refused(&fleet, &mut replicas, "/resumable/x").await;
+    assert_refused(&fleet, &mut replicas, "/resumable/x").await;
 }
 
 #[tokio::test]
-async fn a_request_that_crashed_three_endpoints_stays_refused_after_all_were_killed() {
+async fn a_crashing_request_stays_refused_after_all_processes_are_killed() {
     let (mut fleet, mut replicas) = fleet_of_two_routers(Behaviour::Answer).await;
     crash_three(&fleet, &mut replicas, "/stream/x").await;
     fleet.kill_control();
@@ -157,13 +156,13 @@
         fleet.register(replica, "ready", sequence).await;
     }
     fleet.wait_ready().await;
-    is_refused(&fleet, &mut replicas, "/stream/x").await;
+    assert_refused(&fleet, &mut replicas, "/stream/x").await;
 }
 
-/// Streams run beside the request that crashes replicas, are lost with it again and again,
-/// and come again: each is served in the end, and none is ever taken for what crashes.
+/// Streams that run concurrently with the crashing request are lost with it and resent. Each must
+/// be served in the end, and none may be refused as the cause of the crashes.
 #[tokio::test]
-async fn requests_that_ran_beside_the_crashes_are_served() {
+async fn innocent_requests_lost_in_crashes_are_served() {
     let stream = Behaviour::Stream { events: 20, pause: Duration::from_millis(20) };
     let (fleet, mut replicas) = fleet_of_two_routers(stream).await;
     let callers = (0..8).map(|caller| {
@@ -180,7 +179,7 @@
     });
     let callers: Vec<_> = callers.collect();
     crash_three(&fleet, &mut replicas, "/stream/x").await;
-    is_refused(&fleet, &mut replicas, "/stream/x").await;
+    assert_refused(&fleet, &mut replicas, "/stream/x").await;
     for caller in callers {
         let answers = caller.await.unwrap();
         assert!(answers.iter().all(|answer| answer.body != "crashes_endpoints"));
@@ -189,21 +188,21 @@
 }
 
 #[tokio::test]
-async fn an_operator_sees_what_is_refused_and_lets_it_run_again() {
+async fn an_operator_lists_and_releases_a_refused_request() {
     let (fleet, mut replicas) = fleet_of_two_routers(Behaviour::Answer).await;
     crash_three(&fleet, &mut replicas, "/stream/x").await;
-    is_refused(&fleet, &mut replicas, "/stream/x").await;
-    let (done, listed) = fleet.command(&["quarantine", "list"]).await;
-    assert!(done && listed.contains(" refused, "), "{listed}");
+    assert_refused(&fleet, &mut replicas, "/stream/x").await;
+    let (succeeded, listed) = fleet.command(&["quarantine", "list"]).await;
+    assert!(succeeded && listed.contains(" refused, "), "{listed}");
     assert!(listed.contains(" crashes, 1 times"), "{listed}");
     let fingerprint = listed.split(' ').next().unwrap();
     assert!(fingerprint.starts_with("one/"), "{listed}");
-    let (done, said) = fleet.command(&["quarantine", "release", fingerprint]).await;
-    assert!(done && said.contains("may run again"), "{said}");
-    // What it did before is forgiven, also by routers that tell a leader of it again.
-    tokio::time::sleep(TO_LEARN).await;
+    let (succeeded, output) = fleet.command(&["quarantine", "release", fingerprint]).await;
+    assert!(succeeded && output.contains("may run again"), "{output}");
+    // Its earlier crashes no longer count, even if routers report them to a leader again.
+    tokio::time::sleep(MAX_DETECTION_TIME).await;
     let before = replicas.crashed;
-    ask_until(&fleet, &mut replicas, "/stream/x", |crashed| crashed > before).await;
-    let (done, said) = fleet.command(&["quarantine", "release", "no fingerprint"]).await;
-    assert!(!done && said.contains("32 hexadecimal digits"), "{said}");
+    send_until(&fleet, &mut replicas, "/stream/x", |crashed| crashed > before).await;
+    let (succeeded, output) = fleet.command(&["quarantine", "release", "no fingerprint"]).await;
+    assert!(!succeeded && output.contains("32 hexadecimal digits"), "{output}");
 }
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -1,5 +1,5 @@
-//! One control host and one or two routers as separate processes, each on a loopback
-//! address of its own, as on machines of their own.
+//! A test fleet of one control host and one or two routers. Each is a separate process with its
+//! own loopback address, as if it ran on its own machine.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::{Child, Command, Stdio};
@@ -13,25 +13,25 @@
 use crate::http::{Answer, call};
 use crate::replica::Replica;
 
-/// How long to wait between two looks at something that takes a moment.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Ports, the same on all machines.
-const PEER: u16 = 7_400;
-const OPERATOR: u16 = 7_401;
-const CONTROL: u16 = 8_705;
-const FRONT: u16 = 8_703;
-const READY: u16 = 8_704;
-
-/// Settings of a router that hands over all that comes, however busy the machine is.
-const HANDS_OVER: &str = "  overload:\n    hand_over_lag_ms: 0\n    hand_over_answer_ms: 600000\n    \
+/// Interval between two checks of a condition that a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Ports, the same on every address.
+const PEER_PORT: u16 = 7_400;
+const OPERATOR_PORT: u16 = 7_401;
+const CONTROL_PORT: u16 = 8_705;
+const FRONT_PORT: u16 = 8_703;
+const READY_PORT: u16 = 8_704;
+
+/// Settings of a router that hands over every connection, whatever its load is.
+const HANDS_OVER_ALL: &str = "  overload:\n    hand_over_lag_ms: 0\n    hand_over_answer_ms: 600000\n    \
                           unready_lag_ms: 600000\n    refuse_lag_ms: 600000\n";
-/// Settings of a router that serves what comes, however busy the machine is: one that is late
-/// by 40 ms refuses requests, and these tests are not about that.
-const TAKES_ALL: &str = "  overload:\n    hand_over_lag_ms: 600000\n    \
+/// Settings of a router that serves every request, whatever its load is. By default a router
+/// refuses requests when its event loop lags by 40 ms, which a busy test machine may cause.
+const SERVES_ALL: &str = "  overload:\n    hand_over_lag_ms: 600000\n    \
                          unready_lag_ms: 600000\n    refuse_lag_ms: 600000\n";
 
-/// Each fleet of a test run has three loopback addresses of its own.
-static NEXT: AtomicU32 = AtomicU32::new(0);
+/// Number of the next fleet; each fleet of a test run has its own three loopback addresses.
+static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 
 pub struct Fleet {
     pub front: SocketAddr,
@@ -40,7 +40,7 @@
     folder: TempDir,
     control_process: Option<Child>,
     router_process: Option<Child>,
-    /// Where the second router takes requests, if there is one.
+    /// Where the second router accepts requests, if it runs.
     pub neighbour: SocketAddr,
     neighbour_process: Option<Child>,
 }
@@ -78,24 +78,23 @@
         Fleet::start_in_regions("{}").await
     }
 
-    /// Starts a fleet that knows these regions of data halls; the hosts stand in hall
-    /// `a`.
+    /// Starts a fleet with these regions of data halls. All hosts are in hall `a`.
     pub async fn start_in_regions(regions: &str) -> Fleet {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        // Processes of test runs beside this one differ in their numbers.
+        let number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
+        // Concurrent test processes have other process ids, hence other networks.
         let net = (std::process::id() % 250 + 1) as u8;
         let address = |last: u32| Ipv4Addr::new(127, 9, net, (number * 3 + last) as u8);
         let (control, router, neighbour) = (address(1), address(2), address(3));
         let folder = TempDir::new().unwrap();
         write_settings(&folder, [control, router, neighbour], regions);
         let mut fleet = Fleet {
-            front: (router, FRONT).into(),
-            ready: (router, READY).into(),
-            control: (control, CONTROL).into(),
+            front: (router, FRONT_PORT).into(),
+            ready: (router, READY_PORT).into(),
+            control: (control, CONTROL_PORT).into(),
             folder,
             control_process: None,
             router_process: None,
-            neighbour: (neighbour, FRONT).into(),
+            neighbour: (neighbour, FRONT_PORT).into(),
             neighbour_process: None,
         };
         fleet.start_control();
@@ -134,18 +133,18 @@
         kill_child(&mut self.neighbour_process);
     }
 
-    /// Starts the router again as one that hands over all that comes, however long the
-    /// other one takes to answer.
+    /// Restarts the router with settings that make it hand over every connection, however long
+    /// the other router takes to answer.
     pub async fn restart_router_handing_over(&mut self) {
         self.kill_router();
         let path = self.folder.path().join("router.yaml");
         let text = std::fs::read_to_string(&path).unwrap();
-        std::fs::write(path, text.replace(TAKES_ALL, HANDS_OVER)).unwrap();
+        std::fs::write(path, text.replace(SERVES_ALL, HANDS_OVER_ALL)).unwrap();
         self.start_router();
         self.wait_ready().await;
     }
 
-    /// A figure of the first router's metrics; 0 where it is not there.
+    /// Value of a metric of the first router; 0 if the metric is missing.
     pub async fn metric(&self, name: &str) -> u64 {
         let answer = call(self.ready, "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n").await;
         let line = answer.body.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
@@ -173,12 +172,12 @@
         kill(Pid::from_raw(router as i32), signal).unwrap();
     }
 
-    /// Of the router and of the control host.
+    /// Process ids of the router and the control host.
     pub fn process_ids(&self) -> [u32; 2] {
         [&self.router_process, &self.control_process].map(|child| child.as_ref().unwrap().id())
     }
 
-    /// Waits until the router ends by itself, without an error.
+    /// Waits until the router exits; it must exit successfully.
     pub async fn wait_router_end(&mut self) {
         loop {
             let router = self.router_process.as_mut().unwrap();
@@ -186,34 +185,34 @@
                 assert!(status.success(), "{status}");
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn wait_listening(&self, address: SocketAddr) {
         while tokio::net::TcpStream::connect(address).await.is_err() {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until the router says that it takes requests.
+    /// Waits until the router reports that it is ready and has the current configuration.
     pub async fn wait_ready(&self) {
         self.wait_listening(self.ready).await;
         while call(self.ready, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").await.status != 200 {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.settle().await;
     }
 
-    /// Waits until the router says that it takes no more requests.
+    /// Waits until the router reports that it is not ready.
     pub async fn wait_not_ready(&self) {
         while call(self.ready, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").await.status != 503 {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until the router has heard what the control host knows now: a
-    /// configuration sent after it has come.
+    /// Waits until the router has received everything that the control host has recorded so far:
+    /// adds a probe route to the configuration and waits until the router has it.
     pub async fn settle(&self) {
         let document = self.read_configuration().await;
         let (head, rest) = document.split_once(',').unwrap();
@@ -225,15 +224,15 @@
         );
         let text = rest.replacen("[", &format!("[{route}"), 1);
         self.configure(&format!("{{\"version\":{next},{text}")).await;
-        let asked = format!(
+        let request = format!(
             "GET {probe} HTTP/1.1\r\nHost: probe.example\r\nBramblecrank-Deadline-Ms: 1\r\n\r\n"
         );
         loop {
-            let answer = call(self.front, &asked).await;
+            let answer = call(self.front, &request).await;
             if answer.status != 404 && answer.body != "routing_unconfirmed" {
                 return;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -254,19 +253,19 @@
         loop {
             match self.put_configuration(text).await {
                 200 => return,
-                503 => tokio::time::sleep(PAUSE).await,
-                status => panic!("a sound configuration got {status}"),
+                503 => tokio::time::sleep(POLL_INTERVAL).await,
+                status => panic!("a valid configuration got {status}"),
             }
         }
     }
 
-    /// Asks until the newest configuration is known for sure.
+    /// Reads the newest configuration, retrying while the control host answers 503.
     pub async fn read_configuration(&self) -> String {
         loop {
             let answer = self.control_call("GET", "/config", "").await;
             match answer.status {
                 200 => return answer.body,
-                503 => tokio::time::sleep(PAUSE).await,
+                503 => tokio::time::sleep(POLL_INTERVAL).await,
                 status => panic!("a read got {status}"),
             }
         }
@@ -308,14 +307,14 @@
         self.control_call("GET", "/metrics", "").await.body
     }
 
-    /// Starts the control host again as one of three with empty disks, of which the
-    /// other two never come: there is no group and nobody leads.
+    /// Restarts the control host as one of three with empty disks. The other two never start, so
+    /// there is no group and no leader.
     pub fn restart_control_without_group(&mut self) {
         self.kill_control();
         let path = self.folder.path().join("control.yaml");
         let text = std::fs::read_to_string(&path).unwrap();
         let seed = format!("seeds: [\"{}\"", self.control);
-        let others = [4, 5].map(|last| format!("\"127.9.0.{last}:{CONTROL}\"")).join(", ");
+        let others = [4, 5].map(|last| format!("\"127.9.0.{last}:{CONTROL_PORT}\"")).join(", ");
         std::fs::write(&path, text.replace(&seed, &format!("{seed}, {others}"))).unwrap();
         std::fs::remove_dir_all(self.folder.path().join("data")).unwrap();
         self.start_control();
@@ -324,7 +323,7 @@
     /// Runs an operator's command against the control host; returns whether it
     /// succeeded and what it printed.
     pub async fn command(&self, arguments: &[&str]) -> (bool, String) {
-        let operator = SocketAddr::new(self.control.ip(), OPERATOR);
+        let operator = SocketAddr::new(self.control.ip(), OPERATOR_PORT);
         self.wait_listening(operator).await;
         let mut command = Command::new(env!("CARGO_BIN_EXE_bramblecrank"));
         let output = command.args(arguments).arg("--to").arg(operator.to_string()).output();
@@ -333,21 +332,21 @@
         (output.status.success(), String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Sends an order about a data hall until it is answered for sure.
+    /// Drains (`POST`) or restores (`DELETE`) a data hall, retrying after each 503.
     pub async fn order_hall(&self, method: &str, hall: &str) -> u16 {
         loop {
             match self.control_call(method, &format!("/evacuate/{hall}"), "").await.status {
-                503 => tokio::time::sleep(PAUSE).await,
+                503 => tokio::time::sleep(POLL_INTERVAL).await,
                 status => return status,
             }
         }
     }
 
-    /// Sends an order to roll a release out until it is answered for sure.
+    /// Orders a roll-out, retrying after each 503.
     pub async fn order_rollout(&self, order: &str) -> u16 {
         loop {
             match self.order_rollout_once(order).await {
-                503 => tokio::time::sleep(PAUSE).await,
+                503 => tokio::time::sleep(POLL_INTERVAL).await,
                 status => return status,
             }
         }
@@ -357,12 +356,12 @@
         self.control_call("POST", "/rollouts", order).await.status
     }
 
-    /// Asks about a service's roll-out until it is answered for sure.
+    /// Reads the state of a service's roll-out, retrying after each 503.
     pub async fn read_rollout(&self, service: &str) -> Answer {
         loop {
             let answer = self.control_call("GET", &format!("/rollouts/{service}"), "").await;
             match answer.status {
-                503 => tokio::time::sleep(PAUSE).await,
+                503 => tokio::time::sleep(POLL_INTERVAL).await,
                 _ => return answer,
             }
         }
@@ -376,7 +375,7 @@
 
 fn kill_child(child: &mut Option<Child>) {
     if let Some(mut child) = child.take() {
-        // It may have ended by itself.
+        // It may have exited already.
         let _ = child.kill();
         let _ = child.wait();
     }
@@ -386,22 +385,22 @@
     let [control, router, neighbour] = addresses;
     let host = |name: &str, address: Ipv4Addr| {
         format!(
-            "host:\n  name: {name}\n  hall: a\n  peer: \"{address}:{PEER}\"\n  \
-             seeds: [\"{control}:{CONTROL}\"]\n  seed_port: {PEER}\n  heartbeats: control\n  \
+            "host:\n  name: {name}\n  hall: a\n  peer: \"{address}:{PEER_PORT}\"\n  \
+             seeds: [\"{control}:{CONTROL_PORT}\"]\n  seed_port: {PEER_PORT}\n  heartbeats: control\n  \
              regions: {regions}\n\
-             operator: \"{address}:{OPERATOR}\"\n"
+             operator: \"{address}:{OPERATOR_PORT}\"\n"
         )
     };
     let data = folder.path().join("data");
     let control_text = format!(
-        "{}platform: \"{control}:{CONTROL}\"\ndata: {}\nfound_with_seeds: true\n\
+        "{}platform: \"{control}:{CONTROL_PORT}\"\ndata: {}\nfound_with_seeds: true\n\
          tolerated_losses: 0\nwait_for_disk: true\n",
         host("control", control),
         data.display()
     );
     let router_text = |name: &str, address: Ipv4Addr| {
         format!(
-            "{}listen: \"{address}:{FRONT}\"\ngateway:\n  ready: \"{address}:{READY}\"\n  \
+            "{}listen: \"{address}:{FRONT_PORT}\"\ngateway:\n  ready: \"{address}:{READY_PORT}\"\n  \
              stop_takes_ms: 300\n  stop_within_s: 8\n",
             host(name, address)
         )
@@ -410,6 +409,6 @@
     let routers = [("router", router), ("neighbour", neighbour)];
     for (name, address) in routers {
         let path = folder.path().join(format!("{name}.yaml"));
-        std::fs::write(path, router_text(name, address) + TAKES_ALL).unwrap();
+        std::fs::write(path, router_text(name, address) + SERVES_ALL).unwrap();
     }
 }
--- a/tests/platform/halls.rs
+++ b/tests/platform/halls.rs
@@ -1,11 +1,11 @@
-//! Data halls that operators drain and take back.
+//! Data halls that operators drain and restore.
 
 use crate::fleet::{Fleet, configuration};
 use crate::get;
 use crate::http::call;
 use crate::replica::{Behaviour, Replica};
 
-/// Calls in a row: by chance alone they would hardly all go to one of two replicas.
+/// Number of calls; with a random choice they would hardly ever all reach one of two replicas.
 const CALLS: usize = 20;
 
 struct Halls {
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn a_drained_hall_gets_no_new_work_until_it_is_taken_back() {
+async fn a_drained_hall_gets_no_new_requests_until_it_is_restored() {
     let halls = start().await;
     let (to_a, to_b) = halls.calls("all").await;
     assert!(to_a > 0 && to_b > 0, "{to_a} and {to_b}");
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_drained_hall_stays_drained_though_all_processes_are_killed() {
+async fn a_drained_hall_stays_drained_after_all_processes_are_killed() {
     let mut halls = start().await;
     assert_eq!(halls.fleet.order_hall("POST", "a").await, 200);
     halls.fleet.kill_control();
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn an_order_about_an_unknown_hall_is_refused_and_changes_nothing() {
+async fn draining_an_unknown_hall_is_refused_and_changes_nothing() {
     let halls = start().await;
     assert_eq!(halls.fleet.order_hall("POST", "nowhere").await, 404);
     halls.fleet.settle().await;
@@ -76,16 +76,16 @@
 }
 
 #[tokio::test]
-async fn operators_drain_a_hall_and_take_it_back_by_command() {
+async fn operators_drain_and_restore_a_hall_by_command() {
     let halls = start().await;
-    let (done, said) = halls.fleet.command(&["hall", "drain", "a"]).await;
-    assert!(done && said.contains("drained data halls: a"), "{said}");
+    let (succeeded, output) = halls.fleet.command(&["hall", "drain", "a"]).await;
+    assert!(succeeded && output.contains("drained data halls: a"), "{output}");
     halls.fleet.settle().await;
     assert_eq!(halls.calls("drained").await, (0, CALLS));
     let (_, status) = halls.fleet.command(&["config", "status"]).await;
     assert!(status.contains("drained data halls: a"), "{status}");
-    let (done, said) = halls.fleet.command(&["hall", "restore", "a"]).await;
-    assert!(done && said.contains("drained data halls: none"), "{said}");
-    let (done, said) = halls.fleet.command(&["hall", "drain", "nowhere"]).await;
-    assert!(!done && said.contains("no data hall is called 'nowhere'"), "{said}");
+    let (succeeded, output) = halls.fleet.command(&["hall", "restore", "a"]).await;
+    assert!(succeeded && output.contains("drained data halls: none"), "{output}");
+    let (succeeded, output) = halls.fleet.command(&["hall", "drain", "nowhere"]).await;
+    assert!(!succeeded && output.contains("no data hall is called 'nowhere'"), "{output}");
 }
--- a/tests/platform/handover.rs
+++ b/tests/platform/handover.rs
@@ -1,4 +1,4 @@
-//! A router that hands callers' connections over to another one of its data hall.
+//! A router that hands callers' connections over to another router in its data hall.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::replica::{Behaviour, Replica};
 use super::{fleet_with, get, post};
 
-const PAUSE: Duration = Duration::from_millis(20);
-const TAKEN: &str = r#"bramblecrank_gateway_handed_over_total{answer="taken"}"#;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const HANDED_OVER_METRIC: &str = r#"bramblecrank_gateway_handed_over_total{answer="taken"}"#;
 
-/// A fleet whose first router hands over all that comes to a second one.
+/// Starts a fleet whose first router hands over every connection to a second one.
 async fn fleet_of_two(behaviour: Behaviour) -> (Fleet, Vec<Replica>) {
     fleet_of_two_with(&[behaviour]).await
 }
@@ -19,10 +19,10 @@
     let (mut fleet, replicas) = fleet_with(behaviours).await;
     fleet.start_neighbour().await;
     fleet.restart_router_handing_over().await;
-    // The other router is known, and has a routing, once it takes a connection.
-    while fleet.metric(TAKEN).await == 0 {
+    // Once the other router accepts a connection, it is known and has a configuration.
+    while fleet.metric(HANDED_OVER_METRIC).await == 0 {
         call(fleet.front, &get("/safe/x", "before")).await;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     (fleet, replicas)
 }
@@ -33,9 +33,9 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_handed_over_gets_its_own_whole_answer() {
+async fn a_request_that_is_handed_over_gets_its_complete_answer() {
     let (fleet, replicas) = fleet_of_two(Behaviour::Answer).await;
-    let before = fleet.metric(TAKEN).await;
+    let before = fleet.metric(HANDED_OVER_METRIC).await;
     for number in 0..5 {
         let id = format!("h{number}");
         let answer = call(fleet.front, &post("/once/x", &id, "the body")).await;
@@ -44,11 +44,11 @@
         assert_eq!(answer.header("bramblecrank-replica-seal"), Some("seal-i-0"));
         assert_eq!(runs(&replicas, &id), 1);
     }
-    assert_eq!(fleet.metric(TAKEN).await, before + 5);
+    assert_eq!(fleet.metric(HANDED_OVER_METRIC).await, before + 5);
 }
 
 #[tokio::test]
-async fn a_stream_that_is_handed_over_comes_whole() {
+async fn a_stream_that_is_handed_over_arrives_complete() {
     let behaviour = Behaviour::Stream { events: 5, pause: Duration::from_millis(5) };
     let (fleet, _replicas) = fleet_of_two(behaviour).await;
     let answer = call(fleet.front, &post("/stream/x", "s1", "")).await;
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn what_nobody_takes_is_served_where_it_came() {
+async fn a_connection_that_no_other_router_accepts_is_served_locally() {
     let (mut fleet, replicas) = fleet_of_two(Behaviour::Answer).await;
     fleet.kill_neighbour();
     let answer = call(fleet.front, &post("/once/x", "alone", "")).await;
@@ -67,11 +67,11 @@
 }
 
 #[tokio::test]
-async fn a_router_that_is_lost_leaves_no_whole_answer_and_no_second_run() {
+async fn a_lost_router_truncates_the_answer_and_causes_no_second_run() {
     let behaviour = Behaviour::Stream { events: 200, pause: Duration::from_millis(20) };
     let (mut fleet, replicas) = fleet_of_two(behaviour).await;
     let mut caller = open(fleet.front, &post("/stream/x", "lost", "")).await;
-    // Its answer has begun.
+    // The answer has begun.
     caller.readable().await.unwrap();
     fleet.kill_neighbour();
     let answer = read_answer(&mut caller).await;
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_router_is_lost_before_its_answer_gets_an_error_that_promises_nothing() {
+async fn a_request_whose_router_is_lost_before_its_answer_gets_a_502() {
     let (mut fleet, replicas) = fleet_of_two(Behaviour::Hang).await;
     let mut caller = open(fleet.front, &post("/once/x", "lost", "")).await;
     replicas[0].wait_for(|replica| runs(std::slice::from_ref(replica), "lost") == 1).await;
@@ -91,19 +91,19 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_its_run_at_the_replica() {
+async fn a_caller_disconnect_cancels_its_run_at_the_replica() {
     let (fleet, replicas) = fleet_of_two(Behaviour::Hang).await;
-    let before = replicas[0].left();
+    let before = replicas[0].abandoned();
     let caller = open(fleet.front, &post("/once/x", "left", "")).await;
     replicas[0].wait_for(|replica| runs(std::slice::from_ref(replica), "left") == 1).await;
     drop(caller);
-    replicas[0].wait_for(|replica| replica.left() > before).await;
+    replicas[0].wait_for(|replica| replica.abandoned() > before).await;
 }
 
-/// The router that hands a request over passes its answer on unread, and would send its own
-/// next one to an endpoint of which its caller has heard that it leaves.
+/// A router that hands a request over forwards the answer without parsing it. It must still read
+/// the leaving notice, or it sends its own next request to that leaving endpoint.
 #[tokio::test]
-async fn a_router_that_hands_over_learns_which_endpoints_leave() {
+async fn a_router_that_hands_over_learns_which_endpoints_are_leaving() {
     let (mut fleet, replicas) = fleet_of_two_with(&[Behaviour::Answer, Behaviour::Answer]).await;
     fleet.kill_control();
     replicas[0].set_leaving(true);
@@ -111,12 +111,12 @@
     while reached() == 0 {
         call(fleet.front, &post("/once/x", "until", "")).await;
     }
-    let before = fleet.metric(TAKEN).await;
+    let before = fleet.metric(HANDED_OVER_METRIC).await;
     for number in 0..20 {
         assert_eq!(call(fleet.front, &get("/safe/x", &format!("a{number}"))).await.status, 200);
     }
-    assert_eq!(fleet.metric(TAKEN).await, before + 20);
-    // From here on it serves by itself.
+    assert_eq!(fleet.metric(HANDED_OVER_METRIC).await, before + 20);
+    // From here on the first router serves all requests itself.
     fleet.kill_neighbour();
     for number in 0..20 {
         assert_eq!(call(fleet.front, &get("/safe/x", &format!("b{number}"))).await.status, 200);
--- a/tests/platform/http.rs
+++ b/tests/platform/http.rs
@@ -1,17 +1,17 @@
-//! A client that writes requests as text, so that bad ones can be written too.
+//! An HTTP client that sends requests as raw text, so that tests can send malformed ones.
 
 use std::net::SocketAddr;
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer, as far as it came.
+/// An HTTP answer, possibly truncated.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the whole body was received.
     pub complete: bool,
 }
 
@@ -35,7 +35,7 @@
     read_answer(&mut stream).await.expect("the connection ended without an answer")
 }
 
-/// Reads one answer; none where the connection ends before its head is whole.
+/// Reads one answer; `None` if the connection ends before the head is complete.
 pub async fn read_answer(stream: &mut TcpStream) -> Option<Answer> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
@@ -50,7 +50,7 @@
     }
 }
 
-/// The answer in `bytes`; none while more must come.
+/// Parses the answer in `bytes`; `None` while it is incomplete and the connection is open.
 fn parse(bytes: &[u8], ended: bool) -> Option<Answer> {
     let text = String::from_utf8_lossy(bytes);
     let (head, rest) = text.split_once("\r\n\r\n")?;
@@ -66,12 +66,13 @@
             let length: usize = length.parse().ok()?;
             (rest.chars().take(length).collect(), rest.len() >= length)
         }
-        None => chunked(rest),
+        None => decode_chunked(rest),
     };
     (complete || ended).then_some(Answer { status, headers, body, complete })
 }
 
-fn chunked(mut rest: &str) -> (String, bool) {
+/// Decodes a chunked body; the flag says whether the last chunk was received.
+fn decode_chunked(mut rest: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, after)) = rest.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size.trim(), 16) else { break };
--- a/tests/platform/regions.rs
+++ b/tests/platform/regions.rs
@@ -1,4 +1,4 @@
-//! Requests that may be served in some regions only, and those that may go anywhere.
+//! Requests that are restricted to some regions, and unrestricted ones.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use crate::replica::{Behaviour, Replica};
 use crate::{get, post};
 
-/// Data hall `a`, where the hosts stand, is in one region, `b` in another.
+/// Data hall `a`, which holds all hosts, is in one region, `b` in another.
 const REGIONS: &str = r#"{ "a": "near", "b": "far" }"#;
-/// Calls in a row: by chance alone they would hardly all go to one of two replicas.
+/// Number of calls; with a random choice they would hardly ever all reach one of two replicas.
 const CALLS: usize = 20;
 
 struct Regions {
@@ -29,20 +29,20 @@
     Regions { fleet, near, far }
 }
 
-/// The configuration with all routes, and the calling customer, bound to regions.
-fn bound(version: u64, routes: &str, customer: &str) -> String {
+/// A configuration that restricts all routes and the calling customer to regions.
+fn restricted(version: u64, routes: &str, customer: &str) -> String {
     let text = configuration(version);
     let text = text.replace(r#""sticky""#, &format!(r#""allowedRegions":{routes},"sticky""#));
     text.replace(r#""name":"one","#, &format!(r#""name":"one","allowedRegions":{customer},"#))
 }
 
 impl Regions {
-    async fn bind(&self, version: u64, routes: &str, customer: &str) {
-        self.fleet.configure(&bound(version, routes, customer)).await;
+    async fn restrict(&self, version: u64, routes: &str, customer: &str) {
+        self.fleet.configure(&restricted(version, routes, customer)).await;
         self.fleet.settle().await;
     }
 
-    /// Requests that each replica has seen.
+    /// Number of requests that each replica has run.
     fn seen(&self) -> (usize, usize) {
         (self.near.seen().len(), self.far.seen().len())
     }
@@ -58,78 +58,78 @@
         (after.0 - before.0, after.1 - before.1)
     }
 
-    /// A call that must be refused at once as not run, with when to come back.
-    async fn is_refused(&self, id: &str) {
+    /// Sends a request that must be refused at once as not run, with a `Retry-After` header.
+    async fn assert_refused(&self, id: &str) {
         let before = self.seen();
         let answer = call(self.fleet.front, &post("/once/x", id, "")).await;
         assert_eq!((answer.status, answer.body.as_str()), (503, "no_allowed_region"));
         assert!(answer.header("retry-after").is_some());
-        assert_eq!(self.seen(), before, "it reached nobody");
+        assert_eq!(self.seen(), before, "it reached no replica");
     }
 }
 
 #[tokio::test]
-async fn what_may_go_anywhere_goes_to_the_routers_own_region() {
+async fn an_unrestricted_request_prefers_the_routers_own_region() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
     assert_eq!(regions.calls("own").await, (CALLS, 0));
 }
 
 #[tokio::test]
-async fn what_may_go_anywhere_goes_to_another_region_where_its_own_has_no_endpoint() {
+async fn an_unrestricted_request_goes_to_another_region_if_its_own_has_no_endpoint() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
     regions.fleet.deregister(&regions.near).await;
     regions.fleet.settle().await;
     assert_eq!(regions.calls("other").await, (0, CALLS));
-    let across = r#"bramblecrank_gateway_sent_to_other_region_total{service="app"}"#;
-    assert!(regions.fleet.metric(across).await >= CALLS as u64);
+    let sent_metric = r#"bramblecrank_gateway_sent_to_other_region_total{service="app"}"#;
+    assert!(regions.fleet.metric(sent_metric).await >= CALLS as u64);
 }
 
 #[tokio::test]
-async fn a_route_or_a_customer_is_bound_as_soon_as_the_configuration_says_so() {
+async fn a_new_configuration_restricts_a_route_or_a_customer_at_once() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
     assert_eq!(regions.calls("free").await, (CALLS, 0));
-    regions.bind(101, r#"["far"]"#, "[]").await;
+    regions.restrict(101, r#"["far"]"#, "[]").await;
     assert_eq!(regions.calls("route").await, (0, CALLS));
-    regions.bind(201, "[]", r#"["far"]"#).await;
+    regions.restrict(201, "[]", r#"["far"]"#).await;
     assert_eq!(regions.calls("customer").await, (0, CALLS));
-    regions.bind(301, r#"["far","near"]"#, r#"["near"]"#).await;
+    regions.restrict(301, r#"["far","near"]"#, r#"["near"]"#).await;
     assert_eq!(regions.calls("both").await, (CALLS, 0));
 }
 
 #[tokio::test]
-async fn where_route_and_customer_agree_on_no_region_a_request_is_refused_as_not_run() {
+async fn a_request_without_a_common_region_of_route_and_customer_assert_refused_as_not_run() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
-    regions.bind(101, r#"["far"]"#, r#"["near"]"#).await;
-    regions.is_refused("nowhere").await;
+    regions.restrict(101, r#"["far"]"#, r#"["near"]"#).await;
+    regions.assert_refused("nowhere").await;
     let refused =
         r#"bramblecrank_gateway_requests_total{outcome="no_allowed_region",service="app"}"#;
     assert!(regions.fleet.metric(refused).await >= 1);
 }
 
 #[tokio::test]
-async fn a_region_that_no_hall_belongs_to_is_taken_and_its_requests_are_refused_as_not_run() {
+async fn a_region_without_halls_is_accepted_and_its_requests_are_refused_as_not_run() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
-    regions.bind(101, r#"["planned"]"#, "[]").await;
-    regions.is_refused("planned").await;
+    regions.restrict(101, r#"["planned"]"#, "[]").await;
+    regions.assert_refused("planned").await;
 }
 
 #[tokio::test]
-async fn where_no_endpoint_is_left_in_the_region_a_request_is_refused_as_not_run() {
+async fn a_request_to_a_region_without_endpoints_assert_refused_as_not_run() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
-    regions.bind(101, r#"["near"]"#, "[]").await;
+    regions.restrict(101, r#"["near"]"#, "[]").await;
     regions.fleet.deregister(&regions.near).await;
     regions.fleet.settle().await;
-    regions.is_refused("gone").await;
+    regions.assert_refused("gone").await;
 }
 
 #[tokio::test]
-async fn a_bound_request_is_not_sent_again_to_another_region() {
+async fn a_restricted_request_is_not_retried_in_another_region() {
     let regions = start(Behaviour::Fail, Behaviour::Answer).await;
-    // Unbound, the other region answers it.
+    // Without a restriction the other region answers it.
     assert_eq!(call(regions.fleet.front, &get("/safe/x", "free")).await.status, 200);
     let (_, far) = regions.seen();
     assert!(far > 0);
-    regions.bind(101, r#"["near"]"#, "[]").await;
+    regions.restrict(101, r#"["near"]"#, "[]").await;
     for number in 0..CALLS {
         let answer = call(regions.fleet.front, &get("/safe/x", &format!("r{number}"))).await;
         assert_eq!(answer.status, 500);
@@ -138,23 +138,23 @@
 }
 
 #[tokio::test]
-async fn a_bound_stream_is_not_taken_up_in_another_region() {
+async fn a_restricted_stream_is_not_resumed_in_another_region() {
     let pause = Duration::from_millis(2);
     let regions = start(Behaviour::BreakStream, Behaviour::Stream { events: 5, pause }).await;
     let answer = call(regions.fleet.front, &post("/resumable/x", "free", "")).await;
-    assert!(answer.complete, "unbound, it goes on in the other region");
+    assert!(answer.complete, "without a restriction it is resumed in the other region");
     let (_, far) = regions.seen();
     assert!(far > 0);
-    regions.bind(101, r#"["near"]"#, "[]").await;
+    regions.restrict(101, r#"["near"]"#, "[]").await;
     let answer = call(regions.fleet.front, &post("/resumable/x", "bound", "")).await;
     assert!(!answer.complete);
     assert_eq!(regions.seen().1, far);
 }
 
 #[tokio::test]
-async fn a_router_whose_control_host_is_gone_keeps_to_the_regions() {
+async fn a_router_without_a_control_host_still_respects_regions() {
     let mut regions = start(Behaviour::Answer, Behaviour::Answer).await;
-    regions.bind(101, r#"["far"]"#, "[]").await;
+    regions.restrict(101, r#"["far"]"#, "[]").await;
     regions.fleet.kill_control();
     assert_eq!(regions.calls("alone").await, (0, CALLS));
 }
--- a/tests/platform/releases.rs
+++ b/tests/platform/releases.rs
@@ -1,4 +1,4 @@
-//! Replicas of several versions, and callers while one is rolled out.
+//! Roll-outs of a release while callers send requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use crate::http::call;
 use crate::replica::{Behaviour, Replica};
 
-/// Callers that ask one after the other, and how long each pauses.
+/// Number of concurrent callers, and the pause of each between two requests.
 const CALLERS: usize = 4;
 const PAUSE: Duration = Duration::from_millis(10);
-/// Seconds in which a roll-out must be decided.
+/// Seconds within which a roll-out must be decided.
 const WITHIN_S: u64 = 6;
-/// What a bad release may get of all requests, and beyond.
-const SHARE: f64 = 0.1;
-const SLACK: f64 = 50.0;
+/// Maximum share of all requests that a bad release may get, plus a fixed number of requests.
+const MAX_BAD_SHARE: f64 = 0.1;
+const MAX_BAD_EXTRA: f64 = 50.0;
 
 /// A fleet with replicas of two versions.
 struct Releases {
@@ -61,7 +61,7 @@
         self.register_new(1).await;
     }
 
-    /// Kills the control host, which leads, and starts it again.
+    /// Kills and restarts the control host, which is the leader.
     async fn restart_leader(&mut self) {
         self.fleet.kill_control();
         self.fleet.start_control();
@@ -69,12 +69,12 @@
         self.register_new(2).await;
     }
 
-    async fn decided(&self) -> String {
+    async fn wait_decided(&self) -> String {
         loop {
             let answer = self.fleet.read_rollout("app").await;
-            let said: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
-            if said["state"] != "running" {
-                return said["state"].as_str().unwrap().to_string();
+            let status: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
+            if status["state"] != "running" {
+                return status["state"].as_str().unwrap().to_string();
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -84,7 +84,7 @@
         replicas.iter().map(|replica| replica.seen().len()).sum()
     }
 
-    /// Makes calls once all is decided; returns how many the old and the new ones ran.
+    /// Makes 20 calls after the roll-out; returns how many the old and the new replicas ran.
     async fn calls_after(&self) -> (usize, usize) {
         self.fleet.settle().await;
         let before = (Releases::seen(&self.old), Releases::seen(&self.new));
@@ -96,41 +96,41 @@
     }
 }
 
-/// Callers that ask until they are told to stop.
+/// Tasks that send requests until they are stopped.
 struct Callers {
     stop: Arc<AtomicBool>,
-    asked: Arc<AtomicUsize>,
+    sent: Arc<AtomicUsize>,
     tasks: Vec<JoinHandle<Vec<u16>>>,
 }
 
 impl Callers {
     fn start(front: SocketAddr) -> Callers {
-        let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let caller = |number| ask(front, number, stop.clone(), asked.clone());
+        let (stop, sent) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let caller = |number| send_repeatedly(front, number, stop.clone(), sent.clone());
         let tasks = (0..CALLERS).map(|number| tokio::spawn(caller(number))).collect();
-        Callers { stop, asked, tasks }
+        Callers { stop, sent, tasks }
     }
 
-    /// Stops; returns how many calls there were, and the statuses of those that failed.
+    /// Stops the callers; returns the number of calls and the statuses of the failed ones.
     async fn end(self) -> (usize, Vec<u16>) {
         self.stop.store(true, Ordering::Relaxed);
         let mut failed = Vec::new();
         for task in self.tasks {
             failed.extend(task.await.unwrap());
         }
-        (self.asked.load(Ordering::Relaxed), failed)
+        (self.sent.load(Ordering::Relaxed), failed)
     }
 }
 
-async fn ask(
+async fn send_repeatedly(
     front: SocketAddr,
     number: usize,
     stop: Arc<AtomicBool>,
-    asked: Arc<AtomicUsize>,
+    sent: Arc<AtomicUsize>,
 ) -> Vec<u16> {
     let mut failed = Vec::new();
     while !stop.load(Ordering::Relaxed) {
-        let id = format!("c{number}-{}", asked.fetch_add(1, Ordering::Relaxed));
+        let id = format!("c{number}-{}", sent.fetch_add(1, Ordering::Relaxed));
         let answer = call(front, &get("/safe/x", &id)).await;
         if answer.status != 200 || !answer.complete {
             failed.push(answer.status);
@@ -145,9 +145,9 @@
     let releases = Releases::start(Behaviour::Answer, Behaviour::Answer).await;
     let callers = Callers::start(releases.fleet.front);
     releases.order().await;
-    assert_eq!(releases.decided().await, "done");
-    let (asked, failed) = callers.end().await;
-    assert!(failed.is_empty(), "{failed:?} of {asked}");
+    assert_eq!(releases.wait_decided().await, "done");
+    let (sent, failed) = callers.end().await;
+    assert!(failed.is_empty(), "{failed:?} of {sent}");
     assert_eq!(releases.calls_after().await, (0, 20));
 }
 
@@ -156,25 +156,25 @@
     let releases = Releases::start(Behaviour::Answer, Behaviour::Fail).await;
     let callers = Callers::start(releases.fleet.front);
     releases.order().await;
-    assert_eq!(releases.decided().await, "rolled_back");
-    let (asked, failed) = callers.end().await;
+    assert_eq!(releases.wait_decided().await, "rolled_back");
+    let (sent, failed) = callers.end().await;
     let got = Releases::seen(&releases.new);
-    println!("the bad release got {got} of {asked} requests");
-    assert!(got as f64 <= SHARE * asked as f64 + SLACK, "{got} of {asked}");
-    assert!(failed.is_empty(), "what failed there was repeated: {failed:?} of {asked}");
+    println!("the bad release got {got} of {sent} requests");
+    assert!(got as f64 <= MAX_BAD_SHARE * sent as f64 + MAX_BAD_EXTRA, "{got} of {sent}");
+    assert!(failed.is_empty(), "failed requests were not retried: {failed:?} of {sent}");
     assert_eq!(releases.calls_after().await, (20, 0));
 }
 
 #[tokio::test]
-async fn a_good_release_is_done_though_the_leader_is_killed() {
+async fn a_good_release_is_rolled_out_though_the_leader_is_killed() {
     let mut releases = Releases::start(Behaviour::Answer, Behaviour::Answer).await;
     let callers = Callers::start(releases.fleet.front);
     releases.order().await;
     releases.new[0].wait_for(|replica| !replica.seen().is_empty()).await;
     releases.restart_leader().await;
-    assert_eq!(releases.decided().await, "done");
-    let (asked, failed) = callers.end().await;
-    assert!(failed.is_empty(), "{failed:?} of {asked}");
+    assert_eq!(releases.wait_decided().await, "done");
+    let (sent, failed) = callers.end().await;
+    assert!(failed.is_empty(), "{failed:?} of {sent}");
     assert_eq!(releases.calls_after().await, (0, 20));
 }
 
@@ -185,25 +185,25 @@
     releases.order().await;
     releases.new[0].wait_for(|replica| !replica.seen().is_empty()).await;
     releases.restart_leader().await;
-    assert_eq!(releases.decided().await, "rolled_back");
-    let (asked, _) = callers.end().await;
+    assert_eq!(releases.wait_decided().await, "rolled_back");
+    let (sent, _) = callers.end().await;
     let got = Releases::seen(&releases.new);
-    println!("the bad release got {got} of {asked} requests");
-    assert!(got as f64 <= SHARE * asked as f64 + SLACK, "{got} of {asked}");
+    println!("the bad release got {got} of {sent} requests");
+    assert!(got as f64 <= MAX_BAD_SHARE * sent as f64 + MAX_BAD_EXTRA, "{got} of {sent}");
     assert_eq!(releases.calls_after().await, (20, 0));
 }
 
 #[tokio::test]
-async fn a_broken_stream_is_not_taken_up_by_a_replica_of_another_version() {
+async fn a_truncated_stream_is_not_resumed_by_a_replica_of_another_version() {
     let releases = Releases::start(Behaviour::BreakStream, Behaviour::BreakStream).await;
     releases.fleet.deregister(&releases.old[1]).await;
     releases.fleet.register_release("v2", "a", &releases.new[0], "ready", 1).await;
     releases.fleet.settle().await;
-    // Taken up by the other one there would be four events.
+    // If the other replica resumed it, there would be four events.
     let answer = call(releases.fleet.front, &get("/resumable/x", "r1")).await;
     assert_eq!(answer.status, 200);
     let events: Vec<_> = answer.body.lines().filter(|line| line.starts_with("id:")).collect();
     assert_eq!(events, ["id: 1", "id: 2"]);
-    assert!(!answer.complete, "the caller sees that it broke off");
+    assert!(!answer.complete, "the caller sees that it was truncated");
     assert_eq!(Releases::seen(&releases.old) + Releases::seen(&releases.new), 1);
 }
--- a/tests/platform/replica.rs
+++ b/tests/platform/replica.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a replica, which can misbehave in the ways the protocol names.
+//! An emulated replica, which can show the failures that the protocol defines.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
@@ -9,49 +9,49 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// Where health checks go, as the configurations of the tests say. They run nothing.
+/// Path of health checks in the tests' configurations. A health check runs no request.
 const HEALTH_PATH: &str = "/healthz";
 
-/// What a replica does with every request.
+/// How a replica treats each request.
 #[derive(Clone, Debug)]
 pub enum Behaviour {
-    /// Runs and answers it.
+    /// Runs the request and answers 200.
     Answer,
-    /// Runs it, and answers after a while.
+    /// Runs the request and answers after this time.
     Slow(Duration),
-    /// Rejects it as not run.
+    /// Refuses the request as not run.
     Full,
-    /// Runs it and answers with an error.
+    /// Runs the request and answers 500.
     Fail,
-    /// Runs it and resets the connection.
+    /// Runs the request and resets the connection.
     RunAndReset,
-    /// Runs it and never answers.
+    /// Runs the request and never answers.
     Hang,
     /// Answers with another request's id.
     OtherId,
     /// Answers without its signature.
     Unsealed,
-    /// Closes in the middle of the answer.
+    /// Closes the connection in the middle of the answer.
     CutShort,
-    /// Streams so many events, with a pause before each.
+    /// Streams this number of events, with a pause before each.
     Stream { events: u32, pause: Duration },
-    /// Breaks a stream off behind its second event, in the middle of the next.
+    /// Sends two events of a stream and closes the connection in the middle of the third.
     BreakStream,
-    /// Begins a stream, and crashes after a while if the body says so; all else is answered
-    /// as by another replica.
+    /// If the request contains `body`, begins a stream and crashes `after` this time; treats all
+    /// other requests like `others`.
     CrashOn { body: &'static str, after: Duration, others: Box<Behaviour> },
 }
 
-/// A request as the replica got it.
+/// A request as the replica received it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Request {
     pub method: String,
     pub path: String,
     pub headers: Vec<(String, String)>,
     pub body: String,
 }
 
-impl Seen {
+impl Request {
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut headers = self.headers.iter();
         headers.find(|(n, _)| n == name).map(|(_, value)| value.as_str())
@@ -62,52 +62,53 @@
     }
 }
 
-/// A request that reached the replica, whether it ran or was turned away.
+/// A request that reached the replica, whether it was run or refused.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: String,
     pub at: Instant,
-    /// Counts the starts of the replica.
+    /// Number of restarts of the replica before the request.
     pub start: u32,
-    /// Whether the answer says that the replica leaves.
+    /// Whether the answer announces that the replica is leaving.
     pub leaving: bool,
-    /// Whether it was turned away with a request for rest.
+    /// Whether the request was refused because the replica requested a rest.
     pub turned_away: bool,
-    /// When that rest is over.
+    /// When the requested rest ends.
     pub rests_until: Option<Instant>,
 }
 
-/// Requests are turned away until then.
+/// A rest of the replica, during which it refuses requests.
 #[derive(Clone, Debug)]
 struct Rest {
     until: Instant,
-    /// What `Retry-After` says; none for the time that is left.
-    says: Option<String>,
+    /// Value of `Retry-After`; `None` for the remaining time.
+    retry_after: Option<String>,
 }
 
 #[derive(Default)]
 struct State {
-    seen: Mutex<Vec<Seen>>,
+    seen: Mutex<Vec<Request>>,
     arrivals: Mutex<Vec<Arrival>>,
     rest: Mutex<Option<Rest>>,
-    /// Each answer says that it leaves.
+    /// Whether each answer announces that the replica is leaving.
     leaving: AtomicBool,
-    /// Counts its starts under its id.
-    starts: AtomicU32,
-    left: AtomicUsize,
-    /// Health checks that reached it.
+    /// Number of restarts so far.
+    restarts: AtomicU32,
+    /// Requests whose caller disconnected before the answer.
+    abandoned: AtomicUsize,
+    /// Number of health checks received.
     checks: AtomicUsize,
-    /// Health checks are not answered.
+    /// Whether health checks are left unanswered.
     holds_checks: AtomicBool,
-    /// Connections that were taken.
-    taken: AtomicUsize,
-    /// On the first so many connections nothing is answered any more.
+    /// Number of connections accepted.
+    accepted: AtomicUsize,
+    /// Number of the oldest connections on which no request is answered any more.
     silent: AtomicUsize,
-    /// It has ended without notice, with all its connections.
+    /// Cancelled when the replica has crashed.
     crashed: CancellationToken,
 }
 
-/// A replica that listens.
+/// A running replica, which listens on a local port.
 #[derive(Clone)]
 pub struct Replica {
     pub id: String,
@@ -133,7 +134,7 @@
         replica
     }
 
-    /// Ends without notice, with all its connections.
+    /// Closes the listener and all connections without notice.
     pub fn crash(&self) {
         self.state.crashed.cancel();
     }
@@ -142,128 +143,129 @@
         self.state.crashed.is_cancelled()
     }
 
-    /// From now on each answer says that it leaves, or none does.
+    /// Sets whether each further answer announces that the replica is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.state.leaving.store(leaving, Ordering::SeqCst);
     }
 
-    /// It starts again, and takes work.
+    /// Simulates a restart: the replica neither leaves nor rests any more.
     pub fn restart(&self) {
         self.set_leaving(false);
         *self.state.rest.lock().unwrap() = None;
-        self.state.starts.fetch_add(1, Ordering::SeqCst);
+        self.state.restarts.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// From now on it turns requests away, and asks each sender to let it rest until then.
+    /// Refuses requests for this time, with the remaining time in `Retry-After`.
     pub fn rest(&self, time: Duration) {
         let until = Instant::now() + time;
-        *self.state.rest.lock().unwrap() = Some(Rest { until, says: None });
+        *self.state.rest.lock().unwrap() = Some(Rest { until, retry_after: None });
     }
 
-    /// From now on it turns requests away, with these words in place of a time.
-    pub fn rest_saying(&self, time: Duration, says: &str) {
+    /// Refuses requests for this time, with this value of `Retry-After`.
+    pub fn rest_with_header(&self, time: Duration, retry_after: &str) {
         let until = Instant::now() + time;
-        *self.state.rest.lock().unwrap() = Some(Rest { until, says: Some(says.into()) });
+        *self.state.rest.lock().unwrap() =
+            Some(Rest { until, retry_after: Some(retry_after.into()) });
     }
 
-    /// The requests that reached it.
+    /// All requests that reached the replica, without health checks.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.state.arrivals.lock().unwrap().clone()
     }
 
-    /// What `Retry-After` says now; none where it takes requests.
-    fn asks_for_rest(&self) -> Option<String> {
+    /// Current value of `Retry-After`; `None` if the replica is not resting.
+    fn retry_after(&self) -> Option<String> {
         let rest = self.state.rest.lock().unwrap().clone()?;
-        let left = rest.until.checked_duration_since(Instant::now())?;
-        let milliseconds = left.as_micros().div_ceil(1_000);
-        Some(rest.says.unwrap_or_else(|| format!("{:.3}", milliseconds as f64 / 1_000.0)))
+        let remaining = rest.until.checked_duration_since(Instant::now())?;
+        let milliseconds = remaining.as_micros().div_ceil(1_000);
+        Some(rest.retry_after.unwrap_or_else(|| format!("{:.3}", milliseconds as f64 / 1_000.0)))
     }
 
-    /// From now on it answers no health checks, or all.
+    /// Sets whether further health checks are left unanswered.
     pub fn hold_checks(&self, holds: bool) {
         self.state.holds_checks.store(holds, Ordering::SeqCst);
     }
 
-    /// Health checks that reached it, answered or not.
+    /// Number of health checks received, answered or not.
     pub fn checks(&self) -> usize {
         self.state.checks.load(Ordering::SeqCst)
     }
 
-    /// The requests that it ran.
-    pub fn seen(&self) -> Vec<Seen> {
+    /// The requests that the replica ran.
+    pub fn seen(&self) -> Vec<Request> {
         self.state.seen.lock().unwrap().clone()
     }
 
-    /// Connections that are open now fall silent for good; new ones work.
+    /// Stops answering on all connections open now; new ones work.
     pub fn silence(&self) {
-        let taken = self.state.taken.load(Ordering::SeqCst);
-        self.state.silent.store(taken, Ordering::SeqCst);
+        let accepted = self.state.accepted.load(Ordering::SeqCst);
+        self.state.silent.store(accepted, Ordering::SeqCst);
     }
 
-    /// Requests whose caller left before the answer.
-    pub fn left(&self) -> usize {
-        self.state.left.load(Ordering::Relaxed)
+    /// Number of requests whose caller disconnected before the answer.
+    pub fn abandoned(&self) -> usize {
+        self.state.abandoned.load(Ordering::Relaxed)
     }
 
-    /// Waits until something is so; a test that waits in vain hangs no longer
-    /// than its runner allows.
-    pub async fn wait_for(&self, is_so: impl Fn(&Replica) -> bool) {
-        while !is_so(self) {
+    /// Waits until the condition holds. There is no time limit but the test runner's.
+    pub async fn wait_for(&self, condition: impl Fn(&Replica) -> bool) {
+        while !condition(self) {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
     async fn serve(&self, mut stream: TcpStream, behaviour: Behaviour) {
-        let number = self.state.taken.fetch_add(1, Ordering::SeqCst);
-        while let Some(seen) = read_request(&mut stream).await {
+        let number = self.state.accepted.fetch_add(1, Ordering::SeqCst);
+        while let Some(request) = read_request(&mut stream).await {
             if number < self.state.silent.load(Ordering::SeqCst) {
                 continue;
             }
-            let expected = seen.header("bramblecrank-expect-replica").map(str::to_string);
+            let expected = request.header("bramblecrank-expect-replica").map(str::to_string);
             if expected.is_some_and(|id| id != self.id) {
-                write(&mut stream, &self.head(421, &seen.id(), "Content-Length: 0\r\n")).await;
+                write(&mut stream, &self.head(421, &request.id(), "Content-Length: 0\r\n")).await;
                 continue;
             }
-            let asks_for_rest = self.asks_for_rest();
-            let is_check = seen.path == HEALTH_PATH;
+            let retry_after = self.retry_after();
+            let is_check = request.path == HEALTH_PATH;
             if is_check {
                 self.state.checks.fetch_add(1, Ordering::SeqCst);
                 if self.state.holds_checks.load(Ordering::SeqCst) {
                     continue;
                 }
             } else {
-                self.note_arrival(&seen, asks_for_rest.is_some());
+                self.record_arrival(&request, retry_after.is_some());
             }
-            if let Some(time) = asks_for_rest {
+            if let Some(time) = retry_after {
                 let headers = format!(
                     "Bramblecrank-Not-Executed: 1\r\nRetry-After: {time}\r\nContent-Length: 0\r\n"
                 );
-                write(&mut stream, &self.head(503, &seen.id(), &headers)).await;
+                write(&mut stream, &self.head(503, &request.id(), &headers)).await;
                 continue;
             }
             if is_check {
                 let status = if self.state.leaving.load(Ordering::SeqCst) { 503 } else { 200 };
-                write(&mut stream, &self.head(status, &seen.id(), "Content-Length: 0\r\n")).await;
+                write(&mut stream, &self.head(status, &request.id(), "Content-Length: 0\r\n"))
+                    .await;
                 continue;
             }
             if let Behaviour::Full = behaviour {
                 let headers = "Bramblecrank-Not-Executed: 1\r\nContent-Length: 0\r\n";
-                write(&mut stream, &self.head(503, &seen.id(), headers)).await;
+                write(&mut stream, &self.head(503, &request.id(), headers)).await;
                 continue;
             }
-            self.state.seen.lock().unwrap().push(seen.clone());
-            if !self.answer(&mut stream, &seen, &behaviour).await {
+            self.state.seen.lock().unwrap().push(request.clone());
+            if !self.answer(&mut stream, &request, &behaviour).await {
                 return;
             }
         }
     }
 
-    fn note_arrival(&self, seen: &Seen, turned_away: bool) {
+    fn record_arrival(&self, request: &Request, turned_away: bool) {
         let rest = self.state.rest.lock().unwrap().clone();
         self.state.arrivals.lock().unwrap().push(Arrival {
-            id: seen.id(),
+            id: request.id(),
             at: Instant::now(),
-            start: self.state.starts.load(Ordering::SeqCst),
+            start: self.state.restarts.load(Ordering::SeqCst),
             leaving: self.state.leaving.load(Ordering::SeqCst),
             turned_away,
             rests_until: rest.filter(|_| turned_away).map(|rest| rest.until),
@@ -282,24 +284,34 @@
         )
     }
 
-    /// Answers; false when the connection is over.
-    async fn answer(&self, stream: &mut TcpStream, seen: &Seen, behaviour: &Behaviour) -> bool {
+    /// Answers a request; returns false if the connection must be closed.
+    async fn answer(
+        &self,
+        stream: &mut TcpStream,
+        request: &Request,
+        behaviour: &Behaviour,
+    ) -> bool {
         let Behaviour::CrashOn { body, after, others } = behaviour else {
-            return self.answer_as(stream, seen, behaviour).await;
+            return self.answer_with(stream, request, behaviour).await;
         };
-        if !seen.body.contains(body) {
-            return self.answer_as(stream, seen, others).await;
+        if !request.body.contains(body) {
+            return self.answer_with(stream, request, others).await;
         }
         let headers = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n";
-        let begun = self.head(200, &seen.id(), headers) + &chunk("id: 1\ndata: x\n\n");
-        write(stream, &begun).await;
+        let first_event = self.head(200, &request.id(), headers) + &chunk("id: 1\ndata: x\n\n");
+        write(stream, &first_event).await;
         tokio::time::sleep(*after).await;
         self.crash();
         false
     }
 
-    async fn answer_as(&self, stream: &mut TcpStream, seen: &Seen, behaviour: &Behaviour) -> bool {
-        let id = seen.id();
+    async fn answer_with(
+        &self,
+        stream: &mut TcpStream,
+        request: &Request,
+        behaviour: &Behaviour,
+    ) -> bool {
+        let id = request.id();
         let body = format!("answer to {id}");
         let length = format!("Content-Length: {}\r\n", body.len());
         match behaviour {
@@ -326,9 +338,9 @@
             }
             Behaviour::Hang => {
                 let mut byte = [0];
-                // Only the caller's leaving ends it.
+                // Returns when the caller disconnects.
                 let _ = stream.read(&mut byte).await;
-                self.state.left.fetch_add(1, Ordering::Relaxed);
+                self.state.abandoned.fetch_add(1, Ordering::Relaxed);
                 false
             }
             Behaviour::Stream { events, pause } => {
@@ -342,7 +354,7 @@
             }
             Behaviour::BreakStream => {
                 let after: u32 =
-                    seen.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
+                    request.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
                 let headers = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n";
                 let mut text = self.head(200, &id, headers);
                 for event in [after + 1, after + 2] {
@@ -352,7 +364,7 @@
                 write(stream, &text).await;
                 false
             }
-            Behaviour::CrashOn { .. } => unreachable!("taken apart before"),
+            Behaviour::CrashOn { .. } => unreachable!("handled by `answer`"),
         }
     }
 }
@@ -365,7 +377,7 @@
     stream.write_all(text.as_bytes()).await.is_ok()
 }
 
-async fn read_request(stream: &mut TcpStream) -> Option<Seen> {
+async fn read_request(stream: &mut TcpStream) -> Option<Request> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
     let head_end = loop {
@@ -394,5 +406,5 @@
         }
     }
     let body = String::from_utf8_lossy(&bytes[head_end + 4..]).into_owned();
-    Some(Seen { method, path, headers, body })
+    Some(Request { method, path, headers, body })
 }
--- a/tests/platform/rollouts.rs
+++ b/tests/platform/rollouts.rs
@@ -1,4 +1,4 @@
-//! Releases that are rolled out: orders and what becomes of them.
+//! Orders of roll-outs and their outcomes.
 
 use crate::fleet::{Fleet, configuration};
 use crate::replica::{Behaviour, Replica};
@@ -13,7 +13,7 @@
     format!(r#"{{"service":"{service}","targetVersion":"{version}","durationS":{seconds}}}"#)
 }
 
-/// Waits until the service's roll-out is in another state than `running`.
+/// Waits until the service's roll-out is no longer `running`; returns the answer's body.
 async fn wait_decided(fleet: &Fleet) -> String {
     loop {
         let answer = fleet.read_rollout("app").await;
@@ -26,21 +26,21 @@
 }
 
 #[tokio::test]
-async fn an_order_is_taken_once_and_another_has_to_wait() {
+async fn a_second_order_is_refused_while_a_roll_out_is_running() {
     let fleet = start().await;
     assert_eq!(fleet.order_rollout(&order("app", "v2", "60")).await, 200);
     assert_eq!(fleet.order_rollout(&order("app", "v2", "60")).await, 200, "sent again");
     assert_eq!(fleet.order_rollout(&order("app", "v3", "60")).await, 409);
     let answer = fleet.read_rollout("app").await;
-    let said: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
-    assert_eq!(said, serde_json::json!({"state": "running", "targetVersion": "v2"}));
+    let status: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
+    assert_eq!(status, serde_json::json!({"state": "running", "targetVersion": "v2"}));
 }
 
 #[tokio::test]
-async fn a_wrong_order_is_refused_and_changes_nothing() {
+async fn an_invalid_order_is_refused_and_changes_nothing() {
     let fleet = start().await;
     assert_eq!(fleet.order_rollout(&order("nowhere", "v2", "60")).await, 404);
-    for wrong in [
+    for invalid in [
         order("app", "", "60"),
         order("app", "v 2", "60"),
         order("app", "v2", "0"),
@@ -49,19 +49,19 @@
         r#"{"service":"app"}"#.to_string(),
         "no order".to_string(),
     ] {
-        assert_eq!(fleet.order_rollout(&wrong).await, 400, "{wrong}");
+        assert_eq!(fleet.order_rollout(&invalid).await, 400, "{invalid}");
     }
     assert_eq!(fleet.read_rollout("app").await.status, 404, "the service had none");
 }
 
 #[tokio::test]
-async fn an_order_before_the_first_configuration_is_not_refused_for_good() {
+async fn an_order_before_the_first_configuration_is_answered_503() {
     let fleet = Fleet::start().await;
     assert_eq!(fleet.order_rollout_once(&order("app", "v2", "60")).await, 503);
 }
 
 #[tokio::test]
-async fn a_roll_out_outlives_all_processes() {
+async fn a_roll_out_survives_a_restart_of_all_processes() {
     let mut fleet = start().await;
     assert_eq!(fleet.order_rollout(&order("app", "v2", "60")).await, 200);
     fleet.kill_control();
@@ -75,13 +75,16 @@
 }
 
 #[tokio::test]
-async fn a_decided_roll_out_stays_decided_though_all_processes_are_killed() {
+async fn a_decided_roll_out_stays_decided_after_a_restart() {
     let mut fleet = start().await;
     let old = Replica::start("r-old", Behaviour::Answer).await;
     fleet.register(&old, "ready", 1).await;
     assert_eq!(fleet.order_rollout(&order("app", "v2", "1")).await, 200);
-    let said = wait_decided(&fleet).await;
-    assert!(said.contains(r#""state":"rolled_back""#), "no endpoint of it ever came: {said}");
+    let status = wait_decided(&fleet).await;
+    assert!(
+        status.contains(r#""state":"rolled_back""#),
+        "no endpoint of the release registered: {status}"
+    );
     fleet.kill_control();
     fleet.start_control();
     let answer = fleet.read_rollout("app").await;
@@ -94,8 +97,8 @@
     let replica = Replica::start("r-only", Behaviour::Answer).await;
     fleet.register(&replica, "ready", 1).await;
     assert_eq!(fleet.order_rollout(&order("app", "v1", "60")).await, 200);
-    let said = wait_decided(&fleet).await;
-    assert!(said.contains(r#""state":"done""#), "{said}");
+    let status = wait_decided(&fleet).await;
+    assert!(status.contains(r#""state":"done""#), "{status}");
 }
 
 #[tokio::test]
@@ -110,15 +113,17 @@
 #[tokio::test]
 async fn operators_roll_a_release_out_by_command() {
     let fleet = start().await;
-    let begin = ["rollout", "start", "app", "v2", "--within", "60"];
-    let (done, said) = fleet.command(&begin).await;
-    assert!(done && said.contains("v2 of app is being rolled out"), "{said}");
-    let (done, said) = fleet.command(&["rollout", "status", "app"]).await;
-    assert!(done && said.contains("roll-out of v2 for app: canary"), "{said}");
-    let (_, said) = fleet.command(&["config", "status"]).await;
-    assert!(said.contains("roll-out of v2 for app: canary"), "{said}");
-    let (done, said) = fleet.command(&["rollout", "start", "app", "v3", "--within", "9"]).await;
-    assert!(!done && said.contains("is under way"), "{said}");
-    let (done, said) = fleet.command(&["rollout", "start", "no", "v3", "--within", "9"]).await;
-    assert!(!done && said.contains("no service is called 'no'"), "{said}");
+    let start = ["rollout", "start", "app", "v2", "--within", "60"];
+    let (succeeded, output) = fleet.command(&start).await;
+    assert!(succeeded && output.contains("v2 of app is being rolled out"), "{output}");
+    let (succeeded, output) = fleet.command(&["rollout", "status", "app"]).await;
+    assert!(succeeded && output.contains("roll-out of v2 for app: canary"), "{output}");
+    let (_, output) = fleet.command(&["config", "status"]).await;
+    assert!(output.contains("roll-out of v2 for app: canary"), "{output}");
+    let (succeeded, output) =
+        fleet.command(&["rollout", "start", "app", "v3", "--within", "9"]).await;
+    assert!(!succeeded && output.contains("is under way"), "{output}");
+    let (succeeded, output) =
+        fleet.command(&["rollout", "start", "no", "v3", "--within", "9"]).await;
+    assert!(!succeeded && output.contains("no service is called 'no'"), "{output}");
 }
