--- a/src/emulate.rs
+++ b/src/emulate.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what the fleet serves: model engines, plain services and the
-//! platform's list of hosts. They exist for demos, tests and the bench.
+//! Emulators of what the fleet works with: model engines, plain services and the platform's
+//! list of hosts. Demos, tests and benchmarks use them.
 
 pub mod engine;
 pub mod fault;
--- a/src/emulate/engine.rs
+++ b/src/emulate/engine.rs
@@ -1,7 +1,7 @@
-//! An emulated model engine: continuous batching, prefix cache, streams.
+//! An emulated model engine with slots, a prefix cache and streamed answers.
 //!
-//! It speaks chat completions. The length of its output comes from the
-//! request's `emulate.output_tokens`, which routers do not read.
+//! It serves the chat completions API. The length of an output is the request's
+//! `emulate.output_tokens`, which routers do not read.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,35 +19,35 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::fault::{Fault, FaultKind, Faults, asking_for_rest, saying_that_it_leaves};
+use super::fault::{Fault, FaultKind, Faults, with_leaving_header, with_rest_request};
 use super::slot::{Slot, Slots};
 use crate::delivery::header;
 use crate::error::Result;
 use crate::settings::EngineSettings;
 
-/// Characters taken for one token of a prompt.
+/// Bytes of a prompt that count as one token.
 pub const CHARS_PER_TOKEN: usize = 4;
-/// Characters of one block of the prefix cache.
-const BLOCK_CHARS: usize = 1_024;
-/// Cut streams that can still be resumed.
-const RESUMABLE: usize = 1_024;
-/// Output when a request does not say.
-const DEFAULT_OUTPUT: u32 = 64;
+/// Bytes of one block of the prefix cache.
+const BLOCK_BYTES: usize = 1_024;
+/// Maximum number of cut streams that are kept for resuming.
+const MAX_RESUMABLE_STREAMS: usize = 1_024;
+/// Output tokens if the request does not specify them.
+const DEFAULT_OUTPUT_TOKENS: u32 = 64;
 
-/// A chat completion request, as far as the engine reads it.
+/// The fields of a chat completion request that the engine reads.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatRequest {
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// The conversation.
     pub messages: Vec<ChatMessage>,
     /// Whether to stream the answer.
     #[serde(default)]
     pub stream: bool,
-    /// Lower goes first.
+    /// Priority for a slot; lower values go first.
     #[serde(default)]
     pub priority: i32,
-    /// Instructions to the emulator.
+    /// Parameters of the emulation.
     #[serde(default)]
     pub emulate: Emulate,
 }
@@ -59,39 +59,39 @@
     pub content: String,
 }
 
-/// Instructions to the emulator.
+/// Parameters of the emulation.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct Emulate {
     /// Tokens to generate.
     pub output_tokens: Option<u32>,
-    /// Milliseconds after which the engine's process ends without notice, where its
-    /// settings allow that.
+    /// Milliseconds after which the engine's process crashes, if its settings allow that.
     pub crash_after_ms: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 struct PrefixCache {
-    known: HashSet<u64>,
-    order: VecDeque<u64>,
+    hashes: HashSet<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
 impl PrefixCache {
-    /// Characters of `prompt` found in the cache; then caches all of it.
+    /// Returns the length in bytes of the cached prefix of `prompt`, then caches all of its blocks.
+    /// Keeps at most `limit` blocks.
     fn lookup(&mut self, prompt: &str, limit: usize) -> usize {
-        let blocks = prompt.len() / BLOCK_CHARS;
+        let blocks = prompt.len() / BLOCK_BYTES;
         let mut cached = 0;
         for block in 1..=blocks {
-            let end = block * BLOCK_CHARS;
+            let end = block * BLOCK_BYTES;
             let hash = xxh3_64(&prompt.as_bytes()[..end]);
-            if !self.known.insert(hash) {
+            if !self.hashes.insert(hash) {
                 cached = end;
                 continue;
             }
-            self.order.push_back(hash);
+            self.insertion_order.push_back(hash);
         }
-        while self.order.len() > limit {
-            if let Some(oldest) = self.order.pop_front() {
-                self.known.remove(&oldest);
+        while self.insertion_order.len() > limit {
+            if let Some(oldest) = self.insertion_order.pop_front() {
+                self.hashes.remove(&oldest);
             }
         }
         cached
@@ -104,16 +104,19 @@
     slots: Slots,
     faults: Faults,
     cache: Mutex<PrefixCache>,
-    cut: Mutex<HashMap<String, u32>>,
+    /// Total output tokens of cut streams that can be resumed, by request id.
+    cut_streams: Mutex<HashMap<String, u32>>,
 }
 
-/// What one request asks of the engine.
+/// The work of one request, in tokens.
 #[derive(Clone, Debug)]
 struct Job {
     id: String,
     prompt_tokens: u32,
     prefill: Duration,
+    /// Output tokens already sent by the stream that is resumed.
     from: u32,
+    /// Output tokens of the complete answer.
     total: u32,
     cut_after: Option<u32>,
 }
@@ -125,7 +128,7 @@
         slots: Slots::new(settings.slots),
         faults: Faults::default(),
         cache: Mutex::default(),
-        cut: Mutex::default(),
+        cut_streams: Mutex::default(),
         settings,
     };
     let app = Router::new()
@@ -151,7 +154,7 @@
         return refusal("told to refuse");
     }
     if let Some(rest) = fault.as_ref().filter(|f| f.kind == FaultKind::Rest) {
-        return asking_for_rest(refusal("told to rest"), rest);
+        return with_rest_request(refusal("told to rest"), rest);
     }
     if kind == Some(FaultKind::Late) {
         let amount = fault.as_ref().map_or(0, |f| f.amount);
@@ -162,7 +165,7 @@
     }
     let cut_after = fault.filter(|f| f.kind == FaultKind::Cut).map(|f| f.amount as u32);
     let resume = header::text(&headers, header::RESUME).and_then(|v| v.parse().ok());
-    let Some(job) = engine.job(id, &request, resume, cut_after) else {
+    let Some(job) = engine.plan_job(id, &request, resume, cut_after) else {
         return refusal("no such stream to resume");
     };
     if let Some(ms) = request.emulate.crash_after_ms.filter(|_| engine.settings.crashes) {
@@ -170,16 +173,17 @@
     }
     let answer = match request.stream {
         true => stream(engine, job, request.priority),
-        false => whole(engine, job, request.priority).await,
+        false => complete_unstreamed(engine, job, request.priority).await,
     };
     match kind {
-        Some(FaultKind::Leave) => saying_that_it_leaves(answer),
+        Some(FaultKind::Leave) => with_leaving_header(answer),
         _ => answer,
     }
 }
 
 impl Engine {
-    fn job(
+    /// Plans the work of a request; `None` if it resumes an unknown stream.
+    fn plan_job(
         &self,
         id: String,
         request: &ChatRequest,
@@ -189,8 +193,8 @@
         let prompt: String = request.messages.iter().map(|m| m.content.as_str()).collect();
         let prompt_tokens = prompt.len().div_ceil(CHARS_PER_TOKEN) as u32;
         if let Some(from) = resume {
-            let mut cut = self.cut.lock().unwrap_or_else(PoisonError::into_inner);
-            let total = cut.remove(&id)?;
+            let mut cut_streams = self.cut_streams.lock().unwrap_or_else(PoisonError::into_inner);
+            let total = cut_streams.remove(&id)?;
             let prefill = Duration::ZERO;
             return Some(Job { id, prompt_tokens, prefill, from, total, cut_after });
         }
@@ -198,19 +202,20 @@
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         let cached = cache.lookup(&prompt, limit) / CHARS_PER_TOKEN;
         let fresh = u64::from(prompt_tokens) - cached as u64;
-        let total = request.emulate.output_tokens.unwrap_or(DEFAULT_OUTPUT);
+        let total = request.emulate.output_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
         let prefill = Duration::from_micros(fresh * self.settings.prefill_us);
         Some(Job { id, prompt_tokens, prefill, from: 0, total, cut_after })
     }
 
-    fn remember_cut(&self, job: &Job) {
-        let mut cut = self.cut.lock().unwrap_or_else(PoisonError::into_inner);
-        if cut.len() < RESUMABLE {
-            cut.insert(job.id.clone(), job.total);
+    fn record_cut(&self, job: &Job) {
+        let mut cut_streams = self.cut_streams.lock().unwrap_or_else(PoisonError::into_inner);
+        if cut_streams.len() < MAX_RESUMABLE_STREAMS {
+            cut_streams.insert(job.id.clone(), job.total);
         }
     }
 
-    fn step(&self) -> (u32, Duration) {
+    /// Tokens per event, and the time to generate them.
+    fn tokens_per_step(&self) -> (u32, Duration) {
         let tokens = self.settings.tokens_per_event.max(1);
         let time = Duration::from_micros(self.settings.token_us * u64::from(tokens));
         (tokens, time)
@@ -219,12 +224,12 @@
 
 async fn crash(after: Duration) {
     tokio::time::sleep(after).await;
-    log::error!("emulate: ended by a request");
+    log::error!("emulate: process crashed as requested by emulate.crash_after_ms");
     std::process::exit(1);
 }
 
-fn refusal(why: &str) -> Response {
-    let body = json!({"error": {"message": why}});
+fn refusal(reason: &str) -> Response {
+    let body = json!({"error": {"message": reason}});
     (StatusCode::SERVICE_UNAVAILABLE, [(header::NOT_RUN, "1")], Json(body)).into_response()
 }
 
@@ -241,8 +246,8 @@
     json!({"prompt_tokens": job.prompt_tokens, "completion_tokens": completion})
 }
 
-async fn whole(engine: Arc<Engine>, job: Job, priority: i32) -> Response {
-    let Some(_slot) = engine.slots.take(priority).await else {
+async fn complete_unstreamed(engine: Arc<Engine>, job: Job, priority: i32) -> Response {
+    let Some(_slot) = engine.slots.acquire(priority).await else {
         return refusal("stopping");
     };
     let generate = Duration::from_micros(engine.settings.token_us * u64::from(job.total));
@@ -261,7 +266,7 @@
     let id = job.id.clone();
     tokio::spawn(async move {
         tokio::select! {
-            slot = engine.slots.take(priority) => {
+            slot = engine.slots.acquire(priority) => {
                 if let Some(slot) = slot {
                     generate(engine, job, slot, sender).await;
                 }
@@ -278,9 +283,10 @@
 
 type FrameSender = mpsc::Sender<Result<Bytes, std::io::Error>>;
 
-/// Generates until the end, a cut, or the caller's leaving, which frees the slot.
+/// Streams events until the output is complete, the injected cut, or the caller's disconnect.
+/// The slot is released in each case.
 async fn generate(engine: Arc<Engine>, job: Job, slot: Slot, sender: FrameSender) {
-    let (tokens, time) = engine.step();
+    let (tokens, time) = engine.tokens_per_step();
     tokio::time::sleep(job.prefill).await;
     let mut next = tokio::time::Instant::now();
     let mut done = job.from;
@@ -300,9 +306,9 @@
         done = to;
         send_event(&sender, &event.to_string()).await;
         if job.cut_after.is_some_and(|after| done >= after) && done < job.total {
-            engine.remember_cut(&job);
+            engine.record_cut(&job);
             let broken = std::io::Error::other("told to cut");
-            // The caller may have gone already.
+            // Fails if the caller has disconnected already.
             let _ = sender.send(Err(broken)).await;
             return;
         }
@@ -312,6 +318,6 @@
 }
 
 async fn send_event(sender: &FrameSender, data: &str) {
-    // A caller that has gone is noticed by the next wait.
+    // Fails if the caller has disconnected, which the next wait detects.
     let _ = sender.send(Ok(Bytes::from(format!("data: {data}\n\n")))).await;
 }
--- a/src/emulate/platform.rs
+++ b/src/emulate/platform.rs
@@ -1,4 +1,4 @@
-//! An emulated platform: its list of live and leaving hosts, which lags.
+//! An emulated platform that serves the list of live and leaving hosts with a delay.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,7 +18,7 @@
     changes: Mutex<Vec<(Instant, String, HostState)>>,
 }
 
-/// Runs the list until the task is dropped.
+/// Serves the host list until the task is dropped.
 pub async fn run(settings: PlatformSettings) -> Result<()> {
     let platform =
         Platform { lag: Duration::from_millis(settings.lag_ms), changes: Mutex::default() };
@@ -31,8 +31,8 @@
 
 async fn list(State(platform): State<Arc<Platform>>) -> Json<HostList> {
     let changes = platform.changes.lock().unwrap_or_else(PoisonError::into_inner);
-    let seen = changes.iter().filter(|(at, _, _)| at.elapsed() >= platform.lag);
-    let latest: BTreeMap<_, _> = seen.map(|(_, name, state)| (name.clone(), *state)).collect();
+    let visible = changes.iter().filter(|(at, _, _)| at.elapsed() >= platform.lag);
+    let latest: BTreeMap<_, _> = visible.map(|(_, name, state)| (name.clone(), *state)).collect();
     let entry = |(name, state)| HostEntry { name, state };
     Json(HostList { hosts: latest.into_iter().map(entry).collect() })
 }
--- a/src/emulate/service.rs
+++ b/src/emulate/service.rs
@@ -1,4 +1,4 @@
-//! An emulated plain service with a ledger of what it ran.
+//! An emulated plain service with a ledger of the calls that it ran.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use super::fault::{Fault, FaultKind, Faults, asking_for_rest, saying_that_it_leaves};
+use super::fault::{Fault, FaultKind, Faults, with_leaving_header, with_rest_request};
 use super::slot::Slots;
 use crate::delivery::header;
 use crate::error::Result;
@@ -25,7 +25,7 @@
 pub struct Ledger {
     /// Runs by customer and idempotency key.
     pub by_key: BTreeMap<String, u32>,
-    /// Runs in all.
+    /// Total number of runs.
     pub total: u64,
 }
 
@@ -78,9 +78,9 @@
     }
     if let Some(rest) = fault.as_ref().filter(|f| f.kind == FaultKind::Rest) {
         let refused = [(header::NOT_RUN, "1")];
-        return asking_for_rest((StatusCode::SERVICE_UNAVAILABLE, refused).into_response(), rest);
+        return with_rest_request((StatusCode::SERVICE_UNAVAILABLE, refused).into_response(), rest);
     }
-    let Some(_slot) = service.slots.take(0).await else {
+    let Some(_slot) = service.slots.acquire(0).await else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
     let run = service.record(&headers);
@@ -108,13 +108,13 @@
     });
     let answer = ([(header::REQUEST, id.to_string())], Json(answer)).into_response();
     match kind {
-        Some(FaultKind::Leave) => saying_that_it_leaves(answer),
+        Some(FaultKind::Leave) => with_leaving_header(answer),
         _ => answer,
     }
 }
 
 impl Service {
-    /// Writes the call into the ledger before it runs; returns how often its key has run.
+    /// Records the call in the ledger before it runs; returns how often its key has run.
     fn record(&self, headers: &HeaderMap) -> u32 {
         let mut ledger = self.ledger.lock().unwrap_or_else(PoisonError::into_inner);
         ledger.total += 1;
--- a/src/emulate/slot.rs
+++ b/src/emulate/slot.rs
@@ -1,4 +1,4 @@
-//! The slots of an emulated endpoint, handed out by priority.
+//! Slots of an emulated endpoint, assigned by priority.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-/// What an emulated endpoint reports of its load.
+/// Load of an emulated endpoint, served as JSON.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests it can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Requests running.
     pub running: u32,
     /// Requests waiting for a slot.
     pub waiting: u32,
-    /// Requests that have taken a slot since the start.
+    /// Requests that have got a slot since the start.
     pub started: u64,
-    /// Microseconds of slots used since the start.
+    /// Microseconds for which slots were in use since the start, summed over slots.
     pub busy_us: u64,
 }
 
@@ -27,19 +27,20 @@
     running: u32,
     started: u64,
     busy_us: u64,
-    changed: Option<Instant>,
+    last_update: Option<Instant>,
     arrivals: u64,
     waiting: BTreeMap<(i32, u64), oneshot::Sender<Slot>>,
 }
 
 impl State {
-    fn account(&mut self) {
+    /// Adds the time since the last update to `busy_us`.
+    fn update_busy_time(&mut self) {
         let now = Instant::now();
-        if let Some(changed) = self.changed {
-            let spent = now.duration_since(changed).as_micros() as u64;
-            self.busy_us += spent * u64::from(self.running);
+        if let Some(last_update) = self.last_update {
+            let elapsed = now.duration_since(last_update).as_micros() as u64;
+            self.busy_us += elapsed * u64::from(self.running);
         }
-        self.changed = Some(now);
+        self.last_update = Some(now);
     }
 }
 
@@ -62,20 +63,20 @@
         Slots { count, state }
     }
 
-    /// Waits for a slot; lower priorities go first, then earlier arrivals.
-    pub async fn take(&self, priority: i32) -> Option<Slot> {
+    /// Waits for a slot. Lower priority values go first, then earlier arrivals.
+    pub async fn acquire(&self, priority: i32) -> Option<Slot> {
         let receiver = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
             if state.running < self.count {
-                state.account();
+                state.update_busy_time();
                 state.running += 1;
                 state.started += 1;
                 return Some(Slot { slots: Some(self.clone()) });
             }
             let (sender, receiver) = oneshot::channel();
             state.arrivals += 1;
-            let place = (priority, state.arrivals);
-            state.waiting.insert(place, sender);
+            let position = (priority, state.arrivals);
+            state.waiting.insert(position, sender);
             receiver
         };
         receiver.await.ok()
@@ -83,7 +84,7 @@
 
     pub fn load(&self) -> Load {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.account();
+        state.update_busy_time();
         state.waiting.retain(|_, waiter| !waiter.is_closed());
         Load {
             slots: self.count,
@@ -101,7 +102,7 @@
             return;
         };
         let mut state = slots.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.account();
+        state.update_busy_time();
         state.running -= 1;
         while let Some((_, waiter)) = state.waiting.pop_first() {
             let next = Slot { slots: Some(slots.clone()) };
@@ -111,7 +112,7 @@
                     state.started += 1;
                     return;
                 }
-                // The waiter has left: this slot must not free itself again.
+                // The waiter is gone. Dropping the unused slot must not release it a second time.
                 Err(mut unused) => unused.slots = None,
             }
         }
--- a/tests/platform/rollouts.rs
+++ b/tests/platform/rollouts.rs
@@ -113,8 +113,8 @@
 #[tokio::test]
 async fn operators_roll_a_release_out_by_command() {
     let fleet = start().await;
-    let start = ["rollout", "start", "app", "v2", "--within", "60"];
-    let (succeeded, output) = fleet.command(&start).await;
+    let command = ["rollout", "start", "app", "v2", "--within", "60"];
+    let (succeeded, output) = fleet.command(&command).await;
     assert!(succeeded && output.contains("v2 of app is being rolled out"), "{output}");
     let (succeeded, output) = fleet.command(&["rollout", "status", "app"]).await;
     assert!(succeeded && output.contains("roll-out of v2 for app: canary"), "{output}");
