--- a/src/load.rs
+++ b/src/load.rs
@@ -1,10 +1,10 @@
-//! The load and experiment tool: scripted callers, and what they measured.
+//! The load tool: generates scripted load on a fleet, and reports what callers measured.
 
 mod file;
-mod issue;
 mod measure;
 mod observe;
 mod report;
+mod request;
 mod run;
 #[cfg(test)]
 mod tests;
--- a/src/load/file.rs
+++ b/src/load/file.rs
@@ -1,4 +1,4 @@
-//! What a load file says.
+//! The format of load files.
 
 use std::net::SocketAddr;
 
@@ -13,22 +13,22 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadFile {
-    /// Its name, for reports.
+    /// Name of the load in reports.
     pub name: String,
-    /// Callers' ports of the routers.
+    /// Addresses at which routers accept callers' requests.
     pub routers: Vec<SocketAddr>,
-    /// Endpoints whose load is read, for utilisation.
+    /// Endpoints whose `/load` is read to compute utilisation.
     #[serde(default)]
     pub endpoints: Vec<SocketAddr>,
-    /// Plain services whose ledgers are read, for doubled calls.
+    /// Plain services whose ledgers are read to find calls that ran more than once.
     #[serde(default)]
     pub ledgers: Vec<SocketAddr>,
-    /// Seconds of load.
+    /// Duration of the load in seconds, including the warm-up.
     pub duration_s: f64,
-    /// Seconds at the start that do not count.
+    /// Seconds at the start that are not measured.
     #[serde(default = "default_warmup")]
     pub warmup_s: f64,
-    /// Seed of all that is random.
+    /// Seed of the random generators.
     #[serde(default = "default_seed")]
     pub seed: u64,
     /// Units of one prompt token.
@@ -37,32 +37,32 @@
     /// Units of one generated token.
     #[serde(default = "default_output_weight")]
     pub output_weight: u32,
-    /// Whether `routers` are endpoints, called straight: what routers add is the
-    /// difference.
+    /// Whether `routers` are endpoints that are called without a router. The difference to a run
+    /// through routers is their overhead.
     #[serde(default)]
     pub direct: bool,
-    /// Who sends what.
+    /// The customers that send requests.
     pub customers: Vec<LoadCustomer>,
 }
 
-/// One customer's callers.
+/// The load of one customer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadCustomer {
     /// The customer's name.
     pub name: String,
-    /// Its share, as configured.
+    /// The customer's configured share.
     #[serde(default = "default_share")]
     pub share: u32,
-    /// The service.
+    /// Name of the service that it calls.
     pub service: String,
-    /// Path at a plain service; none for a model.
+    /// Path of the call at a plain service; `None` for a model.
     #[serde(default)]
     pub path: Option<String>,
-    /// Routers it enters through, by place in the list; empty for all.
+    /// Indexes in `LoadFile::routers` of the routers that it calls; empty for all.
     #[serde(default)]
     pub routers: Vec<usize>,
-    /// When requests come.
+    /// Arrival process of its requests.
     pub arrival: Arrival,
     /// Lengths of prompts in tokens.
     #[serde(default)]
@@ -70,40 +70,40 @@
     /// Lengths of outputs in tokens.
     #[serde(default)]
     pub output: Lengths,
-    /// Tokens that all its prompts begin with.
+    /// Number of tokens at the start of each prompt that all its prompts share.
     #[serde(default)]
     pub shared_prefix: u32,
     /// Whether each call carries an idempotency key.
     #[serde(default)]
     pub keyed: bool,
-    /// Chance that a keyed call is sent again through another router.
+    /// Probability, 0 to 1, that an answered keyed call is sent again through another router.
     #[serde(default)]
     pub resend: f64,
-    /// Milliseconds within which it wants its answer.
+    /// Deadline of each request in milliseconds.
     #[serde(default)]
     pub deadline_ms: Option<u32>,
 }
 
-/// When requests come.
+/// Arrival process of a customer's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arrival {
-    /// So many callers, each sending its next request after an answer.
+    /// Closed loop: this number of callers, each of which sends its next request after an answer.
     Closed(u32),
-    /// So many requests a second, whatever is answered.
+    /// Open loop: this mean number of requests per second (Poisson), regardless of answers.
     Open(f64),
 }
 
-/// Log-normal lengths.
+/// A log-normal distribution of lengths, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lengths {
-    /// Half are shorter.
+    /// Median length.
     pub median: f64,
-    /// Weight of the tail; 0 for equal lengths.
+    /// Standard deviation of the logarithm; 0 for constant lengths.
     #[serde(default)]
     pub sigma: f64,
-    /// None is longer.
+    /// Maximum length; longer samples are clamped.
     #[serde(default = "default_max")]
     pub max: u32,
 }
@@ -115,13 +115,13 @@
 }
 
 impl Lengths {
-    /// A length; at least 1.
+    /// Draws a length of at least 1.
     pub fn draw(&self, rng: &mut SmallRng) -> u32 {
-        let drawn = match LogNormal::new(self.median.max(1.0).ln(), self.sigma) {
-            Ok(lengths) => lengths.sample(rng),
+        let length = match LogNormal::new(self.median.max(1.0).ln(), self.sigma) {
+            Ok(distribution) => distribution.sample(rng),
             Err(_) => self.median,
         };
-        (drawn as u32).clamp(1, self.max)
+        (length as u32).clamp(1, self.max)
     }
 }
 
@@ -145,7 +145,7 @@
 }
 
 impl LoadFile {
-    /// A load on all routers, engines and services of a sample site.
+    /// Builds a load on all routers, engines and services of a sample site.
     pub fn for_site(
         name: &str,
         site: &Site,
@@ -167,23 +167,23 @@
         }
     }
 
-    /// Checks what parsing cannot.
+    /// Checks the constraints that the parser cannot check.
     pub fn check(&self) -> Result<()> {
-        let wrong = |field: &str, problem: &str, remedy: &str| Error::Invalid {
+        let invalid = |field: &str, problem: &str, remedy: &str| Error::Invalid {
             field: field.into(),
             problem: problem.into(),
             remedy: remedy.into(),
         };
         if self.routers.is_empty() {
-            return Err(wrong("routers", "is empty", "name a router's port for callers"));
+            return Err(invalid("routers", "is empty", "name a router's port for callers"));
         }
         if self.duration_s <= self.warmup_s {
-            return Err(wrong("duration_s", "is within the warm-up", "give a longer one"));
+            return Err(invalid("duration_s", "is within the warm-up", "give a longer one"));
         }
         let outside = |c: &LoadCustomer| c.routers.iter().any(|r| *r >= self.routers.len());
         if let Some(customer) = self.customers.iter().find(|c| outside(c)) {
             let field = format!("customers.{}.routers", customer.name);
-            return Err(wrong(&field, "names a router not in the list", "count from 0"));
+            return Err(invalid(&field, "names a router not in the list", "count from 0"));
         }
         Ok(())
     }
--- a/src/load/measure.rs
+++ b/src/load/measure.rs
@@ -1,14 +1,14 @@
-//! The measures, as `docs/MEASURES.md` defines them; no I/O.
+//! The measures that `docs/MEASURES.md` defines, computed without I/O.
 
 use serde::{Deserialize, Serialize};
 
-/// What was seen at one moment: for each customer, units received and requests
-/// that had not begun to be answered.
+/// Counters at one moment: for each customer, the units received and the requests that were
+/// waiting for the first byte of their answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sample {
     /// Seconds since the start.
     pub at_s: f64,
-    /// Units received so far, by customer.
+    /// Units received since the start, by customer.
     pub received: Vec<u64>,
     /// Requests waiting, by customer.
     pub waiting: Vec<u64>,
@@ -17,19 +17,19 @@
 /// The fairness gap.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Gap {
-    /// The largest over all pairs and all parts of the window, in units over share.
+    /// Largest gap over all pairs of customers and all parts of the window, in units per share.
     pub units: f64,
-    /// Customers backlogged throughout.
+    /// Names of the customers that were backlogged throughout the window.
     pub backlogged: Vec<String>,
-    /// How the gap grew: seconds, and the gap of the window until then.
+    /// Growth of the gap: seconds since the start, and the gap from the window's start until then.
     pub over_time: Vec<(f64, f64)>,
 }
 
-/// The largest difference, over all pairs of customers backlogged throughout
-/// the window and over all parts of it, of service received over share.
+/// Computes the largest difference in service received per share, over all pairs of customers
+/// that were backlogged throughout the window and over all parts of the window.
 pub fn fairness_gap(names: &[String], shares: &[u32], samples: &[Sample]) -> Gap {
-    let always = |c: &usize| samples.iter().all(|s| s.waiting[*c] > 0);
-    let backlogged: Vec<_> = (0..names.len()).filter(always).collect();
+    let is_backlogged = |c: &usize| samples.iter().all(|s| s.waiting[*c] > 0);
+    let backlogged: Vec<_> = (0..names.len()).filter(is_backlogged).collect();
     let mut gap = Gap {
         backlogged: backlogged.iter().map(|c| names[*c].clone()).collect(),
         ..Gap::default()
@@ -51,12 +51,12 @@
     gap
 }
 
-/// The value below which a part of the sorted `values` lies.
-pub fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// Sorts `values` and returns their quantile for `fraction`, 0 to 1; 0 if there are none.
+pub fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     if values.is_empty() {
         return 0.0;
     }
     values.sort_by(f64::total_cmp);
-    let at = (values.len() - 1) as f64 * part;
-    values[at.round() as usize]
+    let index = (values.len() - 1) as f64 * fraction;
+    values[index.round() as usize]
 }
--- a/src/load/observe.rs
+++ b/src/load/observe.rs
@@ -1,4 +1,4 @@
-//! What callers observe, gathered while the load runs.
+//! Counters and histograms that callers record while the load runs.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,17 +8,17 @@
 
 use super::measure::Sample;
 
-/// Microseconds above which latencies are counted as this.
+/// Largest recorded latency in microseconds; longer ones are recorded as this value.
 const MAX_US: u64 = 600_000_000;
 
-/// What a caller was told about a keyed call.
+/// Number of answers to one keyed call, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// Answers that said it ran.
+pub struct CallOutcomes {
+    /// Answers that reported that it ran.
     pub answered: u32,
-    /// Answers that said it did not run.
+    /// Answers that reported that it did not run.
     pub not_run: u32,
-    /// Answers that said neither.
+    /// All other answers, and requests without an answer.
     pub other: u32,
 }
 
@@ -27,51 +27,51 @@
 pub struct CustomerCounters {
     /// Units received.
     pub received: AtomicU64,
-    /// Requests sent that have not begun to be answered.
+    /// Requests sent whose first byte is overdue.
     pub waiting: AtomicU64,
     /// Requests sent.
     pub sent: AtomicU64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: AtomicU64,
     /// Requests refused as not run.
     pub refused: AtomicU64,
-    /// Milliseconds to the first byte, of answered requests, added up.
+    /// Sum of the milliseconds to the first byte of answered requests.
     pub wait_ms: AtomicU64,
 }
 
-/// Everything observed.
+/// Everything that callers have recorded.
 #[derive(Debug)]
 pub struct Observations {
     /// By customer, in the file's order.
     pub customers: Vec<CustomerCounters>,
-    /// Requests told that their outcome is unknown.
+    /// Requests answered with an unknown outcome.
     pub unknown: AtomicU64,
-    /// Requests told that an earlier send is running.
+    /// Requests answered with the notice that an earlier attempt is still running.
     pub running: AtomicU64,
     /// Requests without any answer.
     pub lost: AtomicU64,
     /// Answers of other requests.
     pub crossed: AtomicU64,
-    /// Answers passed off as whole that were not.
+    /// Incomplete answers that were delivered as complete.
     pub truncated: AtomicU64,
     /// Streams that ended with an explicit error.
     pub broken: AtomicU64,
-    /// Refusals that did not say when to come back.
+    /// Refusals without a retry time.
     pub no_retry_after: AtomicU64,
     /// Units of the largest request.
-    pub largest: AtomicU64,
+    pub largest_units: AtomicU64,
     /// Microseconds to the first byte.
     pub first_byte: Mutex<Histogram<u64>>,
-    /// Microseconds between two events, over their tokens.
+    /// Microseconds per token between two events.
     pub between_tokens: Mutex<Histogram<u64>>,
-    /// Microseconds to the end.
-    pub whole: Mutex<Histogram<u64>>,
-    /// What was told about each keyed call.
-    pub told: Mutex<HashMap<String, Told>>,
+    /// Microseconds to the end of complete answers.
+    pub completion: Mutex<Histogram<u64>>,
+    /// Outcomes of each keyed call, by key.
+    pub outcomes_by_key: Mutex<HashMap<String, CallOutcomes>>,
 }
 
 impl Observations {
-    /// Nothing observed yet of so many customers.
+    /// Empty observations of this number of customers.
     pub fn new(customers: usize) -> Observations {
         let histogram = || Mutex::new(histogram());
         Observations {
@@ -83,15 +83,15 @@
             truncated: AtomicU64::new(0),
             broken: AtomicU64::new(0),
             no_retry_after: AtomicU64::new(0),
-            largest: AtomicU64::new(0),
+            largest_units: AtomicU64::new(0),
             first_byte: histogram(),
             between_tokens: histogram(),
-            whole: histogram(),
-            told: Mutex::default(),
+            completion: histogram(),
+            outcomes_by_key: Mutex::default(),
         }
     }
 
-    /// A sample of now.
+    /// Samples the counters; `at_s` is the time since the start in seconds.
     pub fn sample(&self, at_s: f64) -> Sample {
         let read = |f: fn(&CustomerCounters) -> &AtomicU64| {
             self.customers.iter().map(|c| f(c).load(Ordering::Relaxed)).collect()
@@ -99,29 +99,29 @@
         Sample { at_s, received: read(|c| &c.received), waiting: read(|c| &c.waiting) }
     }
 
-    /// Notes what was told about a keyed call.
-    pub fn tell(&self, key: &str, note: impl FnOnce(&mut Told)) {
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        note(told.entry(key.to_string()).or_default());
+    /// Records an outcome of a keyed call.
+    pub fn record_outcome(&self, key: &str, update: impl FnOnce(&mut CallOutcomes)) {
+        let mut outcomes = self.outcomes_by_key.lock().unwrap_or_else(PoisonError::into_inner);
+        update(outcomes.entry(key.to_string()).or_default());
     }
 }
 
-/// A histogram of microseconds.
+/// Creates a histogram of microseconds.
 pub fn histogram() -> Histogram<u64> {
-    // The bounds are constants that the library accepts.
+    // The library rejects only bounds that are out of range, which these are not.
     Histogram::new_with_bounds(1, MAX_US, 3).expect("constant bounds are legal")
 }
 
-/// Records microseconds.
+/// Records a duration in microseconds.
 pub fn record(histogram: &Mutex<Histogram<u64>>, us: u64) {
     let mut histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
     histogram.saturating_record(us.max(1));
 }
 
-/// Milliseconds below which a part lies.
-pub fn quantile_ms(histogram: &Mutex<Histogram<u64>>, part: f64) -> f64 {
+/// Quantile of a histogram in milliseconds.
+pub fn quantile_ms(histogram: &Mutex<Histogram<u64>>, quantile: f64) -> f64 {
     let histogram = histogram.lock().unwrap_or_else(PoisonError::into_inner);
-    histogram.value_at_quantile(part) as f64 / 1_000.0
+    histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
 /// Adds to a counter.
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a load run measured: as text, JSON and a plot.
+//! Report of a load run: as text, JSON and a plot.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -15,7 +15,7 @@
 use crate::emulate::service::Ledger;
 use crate::error::{Error, Result};
 
-/// Parts of the load read at one moment.
+/// Counters of the fleet read at one moment.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probe {
     pub at: Option<Instant>,
@@ -24,19 +24,19 @@
     pub sent: u64,
 }
 
-/// What an endpoint reports of its load.
+/// Load of an endpoint as served at `/load`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(super) struct EndpointLoad {
     slots: u32,
     busy_us: u64,
 }
 
-/// One customer's part.
+/// Measurements of one customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CustomerReport {
-    /// Its name.
+    /// The customer's name.
     pub name: String,
-    /// Its share.
+    /// The customer's share.
     pub share: u32,
     /// Requests sent.
     pub sent: u64,
@@ -44,38 +44,38 @@
     pub answered: u64,
     /// Requests refused as not run.
     pub refused: u64,
-    /// Units received in the window.
+    /// Units received in the measured window.
     pub units: u64,
     /// Mean milliseconds to the first byte.
     pub mean_wait_ms: f64,
 }
 
-/// Everything that was measured.
+/// Measurements of a load run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The load's name.
     pub name: String,
-    /// Seconds that counted.
+    /// Length of the measured window in seconds.
     pub window_s: f64,
     /// The fairness gap.
     pub gap: Gap,
     /// Units of the largest request.
     pub largest_units: u64,
-    /// The gap over the largest request.
+    /// The gap divided by the units of the largest request.
     pub gap_over_largest: f64,
-    /// Busy slot-seconds over slot-seconds.
+    /// Busy slot-seconds divided by all slot-seconds.
     pub utilisation: f64,
-    /// Control bytes a second by router: half send less, and the most.
+    /// Control bytes per second of the median router.
     pub control_p50: f64,
-    /// Control bytes a second of the router that sends most.
+    /// Control bytes per second of the router that sends most.
     pub control_max: f64,
-    /// Control bytes of all routers over requests sent.
+    /// Control bytes of all routers divided by the requests sent.
     pub control_per_request: f64,
-    /// Milliseconds to the first byte: for 50, 95 and 99 in 100.
+    /// Milliseconds to the first byte: 50th, 95th and 99th percentile.
     pub first_byte_ms: [f64; 3],
-    /// Milliseconds between tokens.
+    /// Milliseconds between tokens: 50th, 95th and 99th percentile.
     pub between_tokens_ms: [f64; 3],
-    /// Milliseconds to the end.
+    /// Milliseconds to the end of the answer: 50th, 95th and 99th percentile.
     pub whole_ms: [f64; 3],
     /// Requests sent.
     pub sent: u64,
@@ -85,7 +85,7 @@
     pub refused: u64,
     /// Requests whose outcome is unknown.
     pub unknown: u64,
-    /// Resends told that the call is running.
+    /// Requests answered with the notice that an earlier attempt is still running.
     pub running: u64,
     /// Requests without an answer.
     pub lost: u64,
@@ -95,23 +95,23 @@
     pub doubled: u64,
     /// Answers of other requests.
     pub crossed: u64,
-    /// Answers passed off as whole that were not.
+    /// Incomplete answers that were delivered as complete.
     pub truncated: u64,
-    /// Keyed calls that were only ever told "not run" and ran.
+    /// Keyed calls that ran although all their answers reported "not run".
     pub false_not_run: u64,
-    /// Refusals without a time to come back.
+    /// Refusals without a retry time.
     pub no_retry_after: u64,
-    /// Keyed calls.
+    /// Number of keyed calls.
     pub keyed: u64,
-    /// Whether all callers ended in time.
+    /// Whether all callers finished in time.
     pub finished: bool,
-    /// By customer.
+    /// Measurements by customer, in the order of the load file.
     pub customers: Vec<CustomerReport>,
 }
 
 pub(super) fn build(
     file: &LoadFile,
-    seen: &Observations,
+    observations: &Observations,
     samples: &[Sample],
     before: &Probe,
     after: &Probe,
@@ -122,7 +122,7 @@
     let shares: Vec<_> = file.customers.iter().map(|c| c.share).collect();
     let gap = fairness_gap(&names, &shares, samples);
     let read = |c: &AtomicU64| c.load(Ordering::Relaxed);
-    let largest_units = read(&seen.largest);
+    let largest_units = read(&observations.largest_units);
     let seconds = match (before.at, after.at) {
         (Some(from), Some(to)) => (to - from).as_secs_f64(),
         _ => 0.0,
@@ -130,9 +130,9 @@
     let mut control = control_rates(before, after, seconds);
     let sent_in_window = after.sent.saturating_sub(before.sent).max(1);
     let control_sum: f64 = control.iter().sum();
-    let thirds = |h| [0.5, 0.95, 0.99].map(|part| quantile_ms(h, part));
-    let (doubled, false_not_run) = judge(seen, ledgers);
-    let customers = customer_reports(file, seen, samples);
+    let percentiles = |h| [0.5, 0.95, 0.99].map(|fraction| quantile_ms(h, fraction));
+    let (doubled, false_not_run) = count_violations(observations, ledgers);
+    let customers = customer_reports(file, observations, samples);
     let sum = |f: fn(&CustomerReport) -> u64| customers.iter().map(f).sum();
     LoadReport {
         name: file.name.clone(),
@@ -144,22 +144,23 @@
         control_p50: quantile(&mut control, 0.5),
         control_max: quantile(&mut control, 1.0),
         control_per_request: control_sum * seconds / sent_in_window as f64,
-        first_byte_ms: thirds(&seen.first_byte),
-        between_tokens_ms: thirds(&seen.between_tokens),
-        whole_ms: thirds(&seen.whole),
+        first_byte_ms: percentiles(&observations.first_byte),
+        between_tokens_ms: percentiles(&observations.between_tokens),
+        whole_ms: percentiles(&observations.completion),
         sent: sum(|c| c.sent),
         answered: sum(|c| c.answered),
         refused: sum(|c| c.refused),
-        unknown: read(&seen.unknown),
-        running: read(&seen.running),
-        lost: read(&seen.lost),
-        broken: read(&seen.broken),
+        unknown: read(&observations.unknown),
+        running: read(&observations.running),
+        lost: read(&observations.lost),
+        broken: read(&observations.broken),
         doubled,
-        crossed: read(&seen.crossed),
-        truncated: read(&seen.truncated),
+        crossed: read(&observations.crossed),
+        truncated: read(&observations.truncated),
         false_not_run,
-        no_retry_after: read(&seen.no_retry_after),
-        keyed: seen.told.lock().unwrap_or_else(PoisonError::into_inner).len() as u64,
+        no_retry_after: read(&observations.no_retry_after),
+        keyed: observations.outcomes_by_key.lock().unwrap_or_else(PoisonError::into_inner).len()
+            as u64,
         finished,
         customers,
     }
@@ -167,21 +168,21 @@
 
 fn customer_reports(
     file: &LoadFile,
-    seen: &Observations,
+    observations: &Observations,
     samples: &[Sample],
 ) -> Vec<CustomerReport> {
     let received = |sample: Option<&Sample>, c: usize| sample.map_or(0, |s| s.received[c]);
-    let report = |(at, declared): (usize, &super::file::LoadCustomer)| {
-        let counters = &seen.customers[at];
+    let report = |(index, load): (usize, &super::file::LoadCustomer)| {
+        let counters = &observations.customers[index];
         let answered = counters.answered.load(Ordering::Relaxed);
         let wait = counters.wait_ms.load(Ordering::Relaxed) as f64;
         CustomerReport {
-            name: declared.name.clone(),
-            share: declared.share,
+            name: load.name.clone(),
+            share: load.share,
             sent: counters.sent.load(Ordering::Relaxed),
             answered,
             refused: counters.refused.load(Ordering::Relaxed),
-            units: received(samples.last(), at) - received(samples.first(), at),
+            units: received(samples.last(), index) - received(samples.first(), index),
             mean_wait_ms: wait / answered.max(1) as f64,
         }
     };
@@ -208,28 +209,30 @@
     pairs.filter_map(rate).collect()
 }
 
-/// Keyed calls that ran more than once, and those falsely told "not run".
-fn judge(seen: &Observations, ledgers: &[Ledger]) -> (u64, u64) {
+/// Counts the keyed calls that ran more than once, and those falsely reported as not run.
+fn count_violations(observations: &Observations, ledgers: &[Ledger]) -> (u64, u64) {
     let mut runs: HashMap<&str, u32> = HashMap::new();
     for (name, count) in ledgers.iter().flat_map(|l| &l.by_key) {
         let key = name.split_once('/').map_or(name.as_str(), |(_, key)| key);
         *runs.entry(key).or_default() += count;
     }
-    let told = seen.told.lock().unwrap_or_else(PoisonError::into_inner);
-    let mine = |key: &str| runs.get(key).copied().unwrap_or(0);
-    let doubled = told.keys().filter(|key| mine(key) > 1).count();
-    let only_not_run = told.iter().filter(|(_, t)| t.not_run > 0 && t.answered + t.other == 0);
-    let false_not_run = only_not_run.filter(|(key, _)| mine(key) > 0).count();
+    let outcomes_by_key =
+        observations.outcomes_by_key.lock().unwrap_or_else(PoisonError::into_inner);
+    let run_count = |key: &str| runs.get(key).copied().unwrap_or(0);
+    let doubled = outcomes_by_key.keys().filter(|key| run_count(key) > 1).count();
+    let only_not_run =
+        outcomes_by_key.iter().filter(|(_, o)| o.not_run > 0 && o.answered + o.other == 0);
+    let false_not_run = only_not_run.filter(|(key, _)| run_count(key) > 0).count();
     (doubled as u64, false_not_run as u64)
 }
 
 impl LoadReport {
-    /// Whether no promise was seen broken.
+    /// Whether no violation of a guarantee was measured.
     pub fn is_clean(&self) -> bool {
         self.doubled + self.crossed + self.truncated + self.false_not_run + self.no_retry_after == 0
     }
 
-    /// Names and values, for tables.
+    /// Names and formatted values of the rows of a table.
     fn rows(&self) -> Vec<(&'static str, String)> {
         let ms = |v: &[f64; 3]| format!("{:.1} / {:.1} / {:.1}", v[0], v[1], v[2]);
         vec![
@@ -285,7 +288,7 @@
     }
 }
 
-/// Two reports side by side.
+/// Formats two reports side by side.
 pub fn compare(before: &LoadReport, after: &LoadReport) -> String {
     let mut text = format!("  {:<26} {:>24} {:>24}\n", "", before.name, after.name);
     for ((name, a), (_, b)) in before.rows().into_iter().zip(after.rows()) {
@@ -294,7 +297,7 @@
     text
 }
 
-/// Draws the gap over time as SVG.
+/// Draws the gaps of reports over time into an SVG file.
 pub fn plot(reports: &[&LoadReport], path: &Path) -> Result<()> {
     draw(reports, path).map_err(|e| Error::Load { message: format!("cannot draw: {e}") })
 }
@@ -311,8 +314,8 @@
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..last, 0.0..highest * 1.1)?;
     chart.configure_mesh().disable_x_mesh().draw()?;
-    for (at, report) in reports.iter().enumerate() {
-        let style = Palette99::pick(at).stroke_width(2);
+    for (index, report) in reports.iter().enumerate() {
+        let style = Palette99::pick(index).stroke_width(2);
         chart.draw_series(LineSeries::new(report.gap.over_time.iter().copied(), style))?;
     }
     root.present()?;
--- a/src/load/run.rs
+++ b/src/load/run.rs
@@ -1,4 +1,4 @@
-//! Runs a load file.
+//! Running a load file against a fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,43 +13,44 @@
 use tokio::time::Instant;
 
 use super::file::{Arrival, LoadFile};
-use super::issue::{Ended, Issue, issue};
 use super::measure::Sample;
 use super::observe::Observations;
 use super::report::{self, LoadReport, Probe};
+use super::request::{Outcome, PlannedRequest, send_request};
 use crate::delivery::HttpClient;
 use crate::emulate::service::Ledger;
 use crate::error::Result;
 
-/// Time between two samples.
-const SAMPLE: Duration = Duration::from_millis(100);
-/// Most requests of one open customer under way.
-const MAX_OPEN: usize = 20_000;
-/// How long requests under way at the end may take to finish.
-const GRACE: Duration = Duration::from_secs(20);
-/// Times that one keyed call is sent in all.
+/// Interval between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of pending requests of a customer with open-loop arrivals.
+const MAX_OPEN_REQUESTS: usize = 20_000;
+/// How long pending requests may take to finish after the load ends.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of times that one keyed call is sent.
 const MAX_SENDS: u32 = 6;
 
 struct Load {
     file: LoadFile,
     client: HttpClient,
-    seen: Observations,
+    observations: Observations,
     end: Instant,
-    keys: AtomicU64,
-    run: u64,
+    next_key: AtomicU64,
+    /// Makes the keys of this run unique: its start in milliseconds since the epoch.
+    run_id: u64,
 }
 
-/// Runs a load against a fleet that is up, and reports what was measured.
-/// `progress` is told seconds passed and samples taken.
+/// Runs a load against a running fleet and reports what was measured.
+/// Calls `progress` with the seconds since the start and each sample.
 pub async fn run(file: LoadFile, progress: impl Fn(f64, &Sample)) -> Result<LoadReport> {
     file.check()?;
     let start = Instant::now();
     let load = Arc::new(Load {
         client: HttpClient::default(),
-        seen: Observations::new(file.customers.len()),
+        observations: Observations::new(file.customers.len()),
         end: start + Duration::from_secs_f64(file.duration_s),
-        keys: AtomicU64::new(0),
-        run: crate::clock::epoch_ms(),
+        next_key: AtomicU64::new(0),
+        run_id: crate::clock::epoch_ms(),
         file,
     });
     let mut callers = JoinSet::new();
@@ -60,11 +61,11 @@
     let samples = sample_until_end(&load, start, progress).await;
     let after = probe(&load).await;
     let finish = async { while callers.join_next().await.is_some() {} };
-    // Requests that outlast the grace are ended with their callers.
-    let finished = tokio::time::timeout(GRACE, finish).await.is_ok();
+    // Requests that are still pending after this time are aborted with their callers.
+    let finished = tokio::time::timeout(FINISH_TIMEOUT, finish).await.is_ok();
     callers.abort_all();
     let ledgers = ledgers(&load).await;
-    Ok(report::build(&load.file, &load.seen, &samples, &before, &after, &ledgers, finished))
+    Ok(report::build(&load.file, &load.observations, &samples, &before, &after, &ledgers, finished))
 }
 
 fn spawn_callers(load: &Arc<Load>, callers: &mut JoinSet<()>) {
@@ -74,89 +75,94 @@
             Arrival::Closed(count) => {
                 for caller in 0..count {
                     let rng = SmallRng::seed_from_u64(seed ^ u64::from(caller) << 32);
-                    callers.spawn(closed(load.clone(), customer, caller as usize, rng));
+                    callers.spawn(run_closed_loop(load.clone(), customer, caller as usize, rng));
                 }
             }
             Arrival::Open(rate) => {
                 let rng = SmallRng::seed_from_u64(seed);
-                callers.spawn(open(load.clone(), customer, rate, rng));
+                callers.spawn(run_open_loop(load.clone(), customer, rate, rng));
             }
         }
     }
 }
 
 impl Load {
-    fn draw(&self, customer: usize, turn: usize, rng: &mut SmallRng) -> Issue {
+    /// Draws the next request of a customer; `number` selects its router in rotation.
+    fn plan_request(&self, customer: usize, number: usize, rng: &mut SmallRng) -> PlannedRequest {
         let declared = &self.file.customers[customer];
         let router = match declared.routers.as_slice() {
-            [] => turn % self.file.routers.len(),
-            some => some[turn % some.len()],
+            [] => number % self.file.routers.len(),
+            routers => routers[number % routers.len()],
         };
         let key = declared.keyed.then(|| {
-            let number = self.keys.fetch_add(1, Ordering::Relaxed);
-            format!("{}-{number}", self.run)
+            let key = self.next_key.fetch_add(1, Ordering::Relaxed);
+            format!("{}-{key}", self.run_id)
         });
         let prompt = declared.prompt.draw(rng);
         let output = declared.output.draw(rng);
-        Issue { customer, router, prompt, output, key }
+        PlannedRequest { customer, router, prompt, output, key }
     }
 
-    /// Sends a request; a keyed one is sometimes sent again with its key, and
-    /// again while it has no final answer.
-    async fn send(&self, mut request: Issue, rng: &mut SmallRng) -> Ended {
-        let mut ended = issue(&self.client, &self.file, &request, &self.seen).await;
+    /// Sends a request. A keyed one is sent again with its key with the configured probability,
+    /// and while it has no final answer.
+    async fn send(&self, mut request: PlannedRequest, rng: &mut SmallRng) -> Outcome {
+        let mut outcome =
+            send_request(&self.client, &self.file, &request, &self.observations).await;
         if request.key.is_none() {
-            return ended;
+            return outcome;
         }
-        let resend = self.file.customers[request.customer].resend;
+        let probability = self.file.customers[request.customer].resend;
         for _ in 1..MAX_SENDS {
-            let again = ended != Ended::Answered || rng.random_bool(resend.clamp(0.0, 1.0));
+            let again =
+                outcome != Outcome::Answered || rng.random_bool(probability.clamp(0.0, 1.0));
             if !again || Instant::now() >= self.end {
                 break;
             }
-            if let Ended::ComeBack(after) = ended {
+            if let Outcome::RetryAfter(after) = outcome {
                 tokio::time::sleep(after.min(Duration::from_secs(2))).await;
             }
             request.router = (request.router + 1) % self.file.routers.len();
-            ended = issue(&self.client, &self.file, &request, &self.seen).await;
+            outcome = send_request(&self.client, &self.file, &request, &self.observations).await;
         }
-        ended
+        outcome
     }
 }
 
-async fn closed(load: Arc<Load>, customer: usize, caller: usize, mut rng: SmallRng) {
-    let mut turn = caller;
+/// Runs one caller that sends its next request after each answer.
+async fn run_closed_loop(load: Arc<Load>, customer: usize, caller: usize, mut rng: SmallRng) {
+    let mut number = caller;
     while Instant::now() < load.end {
-        let request = load.draw(customer, turn, &mut rng);
-        let ended = load.send(request, &mut rng).await;
-        let pause = match ended {
-            Ended::Answered => Duration::ZERO,
-            Ended::ComeBack(after) => after,
-            Ended::Other => Duration::from_millis(100),
+        let request = load.plan_request(customer, number, &mut rng);
+        let outcome = load.send(request, &mut rng).await;
+        let pause = match outcome {
+            Outcome::Answered => Duration::ZERO,
+            Outcome::RetryAfter(after) => after,
+            Outcome::Other => Duration::from_millis(100),
         };
         let left = load.end.saturating_duration_since(Instant::now());
         tokio::time::sleep(pause.min(left)).await;
-        turn += 1;
+        number += 1;
     }
 }
 
-async fn open(load: Arc<Load>, customer: usize, rate: f64, mut rng: SmallRng) {
-    let Ok(gaps) = Exp::new(rate) else { return };
+/// Sends requests at a mean rate per second, regardless of answers.
+async fn run_open_loop(load: Arc<Load>, customer: usize, rate: f64, mut rng: SmallRng) {
+    let Ok(intervals) = Exp::new(rate) else { return };
     let mut requests = JoinSet::new();
     let mut next = Instant::now();
-    let mut turn = 0;
+    let mut number = 0;
     loop {
-        next += Duration::from_secs_f64(gaps.sample(&mut rng));
+        next += Duration::from_secs_f64(intervals.sample(&mut rng));
         if next >= load.end {
             break;
         }
         tokio::time::sleep_until(next).await;
         while requests.try_join_next().is_some() {}
-        if requests.len() >= MAX_OPEN {
+        if requests.len() >= MAX_OPEN_REQUESTS {
             continue;
         }
-        let request = load.draw(customer, turn, &mut rng);
-        turn += 1;
+        let request = load.plan_request(customer, number, &mut rng);
+        number += 1;
         let load = load.clone();
         let mut rng = SmallRng::seed_from_u64(rng.random());
         requests.spawn(async move {
@@ -172,11 +178,11 @@
     progress: impl Fn(f64, &Sample),
 ) -> Vec<Sample> {
     let mut samples = Vec::new();
-    let mut ticks = tokio::time::interval(SAMPLE);
+    let mut ticks = tokio::time::interval(SAMPLE_INTERVAL);
     while Instant::now() < load.end {
         ticks.tick().await;
         let at_s = start.elapsed().as_secs_f64();
-        let sample = load.seen.sample(at_s);
+        let sample = load.observations.sample(at_s);
         progress(at_s, &sample);
         samples.push(sample);
     }
@@ -195,7 +201,7 @@
         probe.control_bytes.push(text.as_deref().and_then(control_bytes));
     }
     let sent = |c: &super::observe::CustomerCounters| c.sent.load(Ordering::Relaxed);
-    probe.sent = load.seen.customers.iter().map(sent).sum();
+    probe.sent = load.observations.customers.iter().map(sent).sum();
     probe
 }
 
