--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,5 +1,5 @@
-//! Embeds the library's decision parts without any process of ours: a dispatcher
-//! that shares two slots between two customers, and an agreement of one store.
+//! Embeds the library's state machines in another program: a dispatcher that shares two slots
+//! between two customers, and a replicated log with a single replica.
 //!
 //! Run with `cargo run --example embed`.
 
@@ -23,10 +23,10 @@
     agree();
 }
 
-/// Two customers want more than there is; service follows their shares.
+/// Two customers request more than the capacity; they are served in proportion to their shares.
 fn dispatch() {
-    let document: Document = serde_saphyr::from_str(CONFIGURATION).expect("the text is sound");
-    let config = Config::default().apply(&document.changes()).expect("the document is sound");
+    let document: Document = serde_saphyr::from_str(CONFIGURATION).expect("the text is valid");
+    let config = Config::default().apply(&document.changes()).expect("the document is valid");
     let router = HostId(1);
     let mut dispatcher = Dispatcher::new(0, ServiceId(0), 1);
     dispatcher.configure(0, Arc::new(config), &BTreeSet::new());
@@ -34,14 +34,14 @@
     dispatcher.receive(0, router, 1, join);
     let mut decisions = Vec::new();
     for seq in 1..=80 {
-        let want = GrantRequest {
+        let request = GrantRequest {
             seq,
             customer: CustomerId((seq % 2) as u32),
             input: 10,
             start_within_ms: 60_000,
             prefix: vec![],
         };
-        decisions.extend(dispatcher.receive(0, router, 1, ToDispatcher::GrantRequest(want)));
+        decisions.extend(dispatcher.receive(0, router, 1, ToDispatcher::GrantRequest(request)));
     }
     let mut served = [0; 2];
     let mut now = 0;
@@ -59,7 +59,7 @@
     );
 }
 
-/// A group of one store elects itself and commits a command.
+/// A group with a single replica elects itself leader and commits a command.
 fn agree() {
     let member = bramblecrank::agree::GroupMember {
         store: StoreId(1),
@@ -73,7 +73,7 @@
     for record in Replica::bootstrap_records(vec![member]) {
         match record {
             Persist::HardState(state) => hard = state,
-            Persist::Entries(founding) => entries = founding,
+            Persist::Entries(bootstrap_entries) => entries = bootstrap_entries,
             Persist::Snapshot(_) => {}
         }
     }
--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -1,7 +1,7 @@
-//! Measures what each decision costs at several sizes, for `docs/CAPACITY.md`.
+//! Measures the cost of each decision at several sizes, for `docs/CAPACITY.md`.
 //!
-//! Run with `cargo run --release --example slopes`. Figures are of one core of
-//! the machine at hand.
+//! Run with `cargo run --release --example slopes`. Figures are for one core of the local
+//! machine.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -36,19 +36,22 @@
     restart();
 }
 
+/// Prints a row of a Markdown table.
 fn row(name: &str, size: impl std::fmt::Display, value: f64, unit: &str) {
     println!("| {name} | {size} | {value:.2} {unit} |");
 }
 
+/// Prints a heading and the head of a Markdown table.
 fn title(text: &str) {
     println!("\n### {text}\n\n| what | size | measured |\n| --- | --- | --- |");
 }
 
+/// Size of a value in bytes as encoded by postcard.
 fn bytes<T: serde::Serialize>(value: &T) -> f64 {
     postcard::to_stdvec(value).map_or(0.0, |b| b.len() as f64)
 }
 
-fn want(seq: u64, customer: u32, prefix: usize) -> GrantRequest {
+fn grant_request(seq: u64, customer: u32, prefix: usize) -> GrantRequest {
     GrantRequest {
         seq,
         customer: CustomerId(customer),
@@ -58,7 +61,7 @@
     }
 }
 
-fn beat(host: u32) -> Heartbeat {
+fn heartbeat(host: u32) -> Heartbeat {
     Heartbeat {
         host: HostId(host),
         incarnation: 1_796_205_361_634,
@@ -74,8 +77,18 @@
 
 fn sizes() {
     title("Bytes of messages, without headers");
-    row("want, short prompt", 1, bytes(&ToDispatcher::GrantRequest(want(100_000, 15_000, 0))), "B");
-    row("want, long prompt", 1, bytes(&ToDispatcher::GrantRequest(want(100_000, 15_000, 4))), "B");
+    row(
+        "want, short prompt",
+        1,
+        bytes(&ToDispatcher::GrantRequest(grant_request(100_000, 15_000, 0))),
+        "B",
+    );
+    row(
+        "want, long prompt",
+        1,
+        bytes(&ToDispatcher::GrantRequest(grant_request(100_000, 15_000, 4))),
+        "B",
+    );
     let grant = FromDispatcher::Grant {
         seq: 100_000,
         endpoint: bramblecrank::config::EndpointId(900),
@@ -86,7 +99,7 @@
     let done = ToDispatcher::Done { seq: 100_000, units: 1_500, completion: Completion::Answered };
     row("done", 1, bytes(&done), "B");
     row("progress", 1, bytes(&ToDispatcher::Progress { seq: 100_000, units: 1_500 }), "B");
-    row("whole heartbeat", 1, bytes(&Beat::Full(beat(7))), "B");
+    row("whole heartbeat", 1, bytes(&Beat::Full(heartbeat(7))), "B");
     let brief = Beat::Brief {
         host: HostId(7),
         incarnation: 1_796_205_361_634,
@@ -98,7 +111,7 @@
 
 fn config(customers: u32, endpoints: u32) -> Config {
     let mut document: Document =
-        serde_saphyr::from_str("{halls: [a], services: [{name: s}]}").expect("sound");
+        serde_saphyr::from_str("{halls: [a], services: [{name: s}]}").expect("valid");
     document.customers = (0..customers).map(customer).collect();
     document.endpoints = (0..endpoints)
         .map(|n| Endpoint {
@@ -110,15 +123,15 @@
             leaving: false,
         })
         .collect();
-    Config::default().apply(&document.changes()).expect("sound")
+    Config::default().apply(&document.changes()).expect("valid")
 }
 
 fn customer(n: u32) -> Customer {
     let text = format!("{{name: customer-{n}, share: {}}}", n % 4 + 1);
-    serde_saphyr::from_str(&text).expect("sound")
+    serde_saphyr::from_str(&text).expect("valid")
 }
 
-/// Microseconds for a want, a grant and a report, with every customer backlogged.
+/// Measures the time for a grant request, a grant and a report, with every customer backlogged.
 fn dispatching() {
     title("Dispatcher: processor time a request (want, grant, done)");
     for (customers, endpoints) in
@@ -131,13 +144,13 @@
         dispatcher.receive(0, HostId(1), 1, join);
         let mut decisions = Vec::new();
         let mut seq = 0;
-        let mut ask = |dispatcher: &mut Dispatcher, customer: u32, now| {
+        let mut send_request = |dispatcher: &mut Dispatcher, customer: u32, now| {
             seq += 1;
-            let want = ToDispatcher::GrantRequest(want(seq, customer, 0));
-            dispatcher.receive(now, HostId(1), 1, want)
+            let request = ToDispatcher::GrantRequest(grant_request(seq, customer, 0));
+            dispatcher.receive(now, HostId(1), 1, request)
         };
         for n in 0..(customers * 4 + endpoints * 20) {
-            decisions.extend(ask(&mut dispatcher, n % customers, 0));
+            decisions.extend(send_request(&mut dispatcher, n % customers, 0));
         }
         let rounds = 20_000;
         let start = Instant::now();
@@ -146,7 +159,7 @@
             let now = round / 100;
             let done = ToDispatcher::Done { seq, units: 1_200, completion: Completion::Answered };
             decisions.extend(dispatcher.receive(now, HostId(1), 1, done));
-            decisions.extend(ask(&mut dispatcher, customer.0, now));
+            decisions.extend(send_request(&mut dispatcher, customer.0, now));
         }
         let each = start.elapsed().as_secs_f64() * 1e6 / rounds as f64;
         row("request", format!("{customers} backlogged, {endpoints} endpoints"), each, "µs");
@@ -162,9 +175,9 @@
 fn members() {
     title("Members: processor time a heartbeat heard, and a view");
     for hosts in [10u32, 50, 200, 340] {
-        let mut table = Members::new(beat(0), vec![], Default::default());
+        let mut table = Members::new(heartbeat(0), vec![], Default::default());
         for host in 1..hosts {
-            table.on_heartbeat(0, beat(host).peer, Beat::Full(beat(host)));
+            table.on_heartbeat(0, heartbeat(host).peer, Beat::Full(heartbeat(host)));
         }
         let start = Instant::now();
         for round in 0..200 {
@@ -172,11 +185,11 @@
                 let host = HostId(h);
                 let incarnation = 1_796_205_361_634;
                 let brief = Beat::Brief { host, incarnation, version: 1, draining: false };
-                table.on_heartbeat(round, beat(h).peer, brief);
+                table.on_heartbeat(round, heartbeat(h).peer, brief);
             }
         }
-        let beats = f64::from(hosts - 1) * 200.0;
-        row("heartbeat", hosts, start.elapsed().as_secs_f64() * 1e6 / beats, "µs");
+        let count = f64::from(hosts - 1) * 200.0;
+        row("heartbeat", hosts, start.elapsed().as_secs_f64() * 1e6 / count, "µs");
         let start = Instant::now();
         (0..200).for_each(|_| drop(table.view(1)));
         row("view", hosts, start.elapsed().as_secs_f64() * 1e6 / 200.0, "µs");
@@ -192,13 +205,13 @@
         let mut history = History::starting_from(config);
         let start = Instant::now();
         for _ in 0..50 {
-            history.advance(vec![change.clone()]).expect("sound");
+            history.advance(vec![change.clone()]).expect("valid");
         }
         let each = start.elapsed().as_secs_f64() * 1e6 / 50.0;
         row("change in place", format!("{customers} customers"), each, "µs");
         let held = history.config().clone();
         let start = Instant::now();
-        history.advance(vec![change.clone()]).expect("sound");
+        history.advance(vec![change.clone()]).expect("valid");
         let each = start.elapsed().as_secs_f64() * 1e6;
         drop(held);
         row("change of a version in use", format!("{customers} customers"), each, "µs");
@@ -236,7 +249,7 @@
     row("claim in the log", 1, entry, "B");
 }
 
-fn lost(endpoint: u64, request: u64) -> Observation {
+fn lost_request(endpoint: u64, request: u64) -> Observation {
     let endpoint = EndpointStart { id: format!("i-{endpoint:010x}"), started_at_ms: 1 };
     let fingerprint = Fingerprint::of("market-traders", &["/p/"], &request.to_be_bytes());
     Observation { ago_ms: 1, event: ObservedEvent::Lost { endpoint, fingerprint, ran_ms: 100 } }
@@ -249,17 +262,17 @@
         let start = Instant::now();
         for crash in 0..crashes {
             for request in 0..requests {
-                analysis.record(crash, HostId(1), lost(crash, crash * requests + request));
+                analysis.record(crash, HostId(1), lost_request(crash, crash * requests + request));
             }
         }
-        let taken = start.elapsed().as_secs_f64() * 1e6 / (crashes * requests) as f64;
+        let each = start.elapsed().as_secs_f64() * 1e6 / (crashes * requests) as f64;
         let size = format!("{crashes} crashes of {requests} requests");
-        row("an observation taken in", &size, taken, "us");
+        row("an observation taken in", &size, each, "us");
         let start = Instant::now();
         analysis.review(10_000, |_| QuarantineState::None);
         row("a decision", &size, start.elapsed().as_secs_f64() * 1e3, "ms");
     }
-    let observations = (0..64).map(|request| lost(1, request)).collect();
+    let observations = (0..64).map(|request| lost_request(1, request)).collect();
     row("a report", "64 requests lost", bytes(&CrashReport { observations }), "B");
     let mut all = Quarantines::default();
     for number in 0..1_024u64 {
@@ -297,7 +310,7 @@
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// From the folder's opening to the newest configuration.
+/// Measures the time from opening the data folder to the newest configuration.
 fn restart() {
     title("Restart of a control host: reading and applying its log");
     for (changes, snapshot_every) in [(500u64, 1_000u64), (50_000, 1_000), (50_000, u64::MAX)] {
@@ -328,23 +341,23 @@
         }
         drop(disk);
         let start = Instant::now();
-        let (_disk, found) = Disk::open(&folder).expect("a folder");
-        let mut state: State = match found.snapshot.data.is_empty() {
+        let (_disk, recovered) = Disk::open(&folder).expect("a folder");
+        let mut state: State = match recovered.snapshot.data.is_empty() {
             true => State::default(),
-            false => postcard::from_bytes(&found.snapshot.data).expect("decoded"),
+            false => postcard::from_bytes(&recovered.snapshot.data).expect("decoded"),
         };
-        for entry in &found.entries {
+        for entry in &recovered.entries {
             if let Payload::Data(data) = &entry.payload {
                 state.apply(postcard::from_bytes(data).expect("decoded"));
             }
         }
-        let took = start.elapsed().as_secs_f64() * 1e3;
+        let elapsed = start.elapsed().as_secs_f64() * 1e3;
         assert_eq!(state.history().config().version, changes);
         let every = match snapshot_every {
             u64::MAX => "no snapshot".to_string(),
             n => format!("snapshot every {n}"),
         };
-        row("restart", format!("{changes} changes, {every}"), took, "ms");
+        row("restart", format!("{changes} changes, {every}"), elapsed, "ms");
         let _ = std::fs::remove_dir_all(folder);
     }
 }
--- a/examples/spread.rs
+++ b/examples/spread.rs
@@ -1,6 +1,5 @@
-//! Measures how a configuration spreads over many hosts, and what heartbeats
-//! cost: small stand-ins of routers, each with its own ports and state, in one
-//! process. For `docs/CAPACITY.md`.
+//! Measures how fast a configuration propagates to many hosts, and the cost of heartbeats. The
+//! hosts are emulated in one process, each with its own ports and state. For `docs/CAPACITY.md`.
 //!
 //! Run with `cargo run --release --example spread -- HOSTS CUSTOMERS CHANGES`.
 
@@ -32,44 +31,49 @@
         all.push(start(n, hosts).await);
     }
     let control = &all[0];
-    let mut history = History::starting_from(first(customers));
+    let mut history = History::starting_from(initial_config(customers));
     control.configs.replace(history.clone());
-    wait(&all, 1).await;
-    // Until everyone knows everyone.
+    wait_in_force(&all, 1).await;
+    // Time for all hosts to learn of each other.
     tokio::time::sleep(Duration::from_secs(8)).await;
-    let (sent, cpu, begun) = (bytes(&all), cpu_seconds(), Instant::now());
+    let (sent, cpu, begun) = (sent_bytes(&all), cpu_seconds(), Instant::now());
     tokio::time::sleep(Duration::from_secs(5)).await;
     let idle_s = begun.elapsed().as_secs_f64();
-    let idle_bytes = (bytes(&all) - sent) as f64 / idle_s / f64::from(hosts);
+    let idle_bytes = (sent_bytes(&all) - sent) as f64 / idle_s / f64::from(hosts);
     let idle_cpu = (cpu_seconds() - cpu) / idle_s / f64::from(hosts) * 100.0;
-    let (sent, begun) = (bytes(&all), Instant::now());
+    let (sent, begun) = (sent_bytes(&all), Instant::now());
     let mut times = Vec::new();
     for n in 0..changes {
         let name = format!("customer-{}", n % customers.max(1));
-        history.advance(vec![Change::PutCustomer(customer(&name))]).expect("sound");
+        history.advance(vec![Change::PutCustomer(customer(&name))]).expect("valid");
         control.configs.replace(history.clone());
-        times.extend(wait(&all, history.config().version).await);
+        times.extend(wait_in_force(&all, history.config().version).await);
     }
     let spent = begun.elapsed().as_secs_f64();
-    let changing = (bytes(&all) - sent) as f64;
+    let changing = (sent_bytes(&all) - sent) as f64;
     let each =
         (changing - idle_bytes * f64::from(hosts) * spent) / f64::from(changes * u32::from(hosts));
     times.sort_by(f64::total_cmp);
-    let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize];
+    let quantile = |fraction: f64| times[((times.len() - 1) as f64 * fraction) as usize];
     println!("hosts {hosts}, customers {customers}, changes {changes}");
-    println!("  seconds to in force: p50 {:.3}, p99 {:.3}, max {:.3}", at(0.5), at(0.99), at(1.0));
+    println!(
+        "  seconds to in force: p50 {:.3}, p99 {:.3}, max {:.3}",
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0)
+    );
     println!("  bytes a change a host, beside heartbeats: {each:.0}");
     println!("  idle: {idle_bytes:.0} bytes/s a host, {idle_cpu:.3} % of a core a host");
 }
 
 fn customer(name: &str) -> Customer {
-    serde_saphyr::from_str(&format!("{{name: {name}}}")).expect("sound")
+    serde_saphyr::from_str(&format!("{{name: {name}}}")).expect("valid")
 }
 
-fn first(customers: u32) -> Config {
+fn initial_config(customers: u32) -> Config {
     let customers = (0..customers).map(|n| customer(&format!("customer-{n}"))).collect();
     let document = Document { customers, ..Document::default() };
-    Config::default().apply(&document.changes()).expect("sound")
+    Config::default().apply(&document.changes()).expect("valid")
 }
 
 async fn start(n: u16, hosts: u16) -> Host {
@@ -88,7 +92,7 @@
     let role = if n == 0 { Role::Control } else { Role::Router };
     let (peers, incoming) = Peers::start(&settings, role, address(n)).await.expect("a free port");
     let configs = Arc::new(CurrentConfig::default());
-    tokio::spawn(answer(configs.clone(), peers.clone(), incoming));
+    tokio::spawn(answer_pulls(configs.clone(), peers.clone(), incoming));
     match n {
         0 => tokio::spawn(spread::announce_version(configs.clone(), peers.clone())),
         _ => tokio::spawn(spread::pull_updates(configs.clone(), peers.clone())),
@@ -96,7 +100,7 @@
     Host { peers, configs }
 }
 
-async fn answer(
+async fn answer_pulls(
     configs: Arc<CurrentConfig>,
     peers: Arc<Peers>,
     mut incoming: mpsc::Receiver<Incoming>,
@@ -109,8 +113,8 @@
     }
 }
 
-/// Seconds until each host has `version` in force.
-async fn wait(hosts: &[Host], version: u64) -> Vec<f64> {
+/// Waits until each host has `version` in force; returns the seconds that each took.
+async fn wait_in_force(hosts: &[Host], version: u64) -> Vec<f64> {
     let start = Instant::now();
     let mut waits = Vec::new();
     for host in &hosts[1..] {
@@ -129,11 +133,12 @@
     times
 }
 
-fn bytes(hosts: &[Host]) -> u64 {
+/// Bytes sent by all hosts so far.
+fn sent_bytes(hosts: &[Host]) -> u64 {
     hosts.iter().map(|h| h.peers.sent.get()).sum()
 }
 
-/// Processor seconds of this process so far.
+/// CPU seconds that this process has used so far.
 fn cpu_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<_> = stat.rsplit(' ').collect();
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,7 +1,7 @@
-//! A whole fleet in one process on loopback, for newcomers.
+//! A complete fleet in one process on loopback, for newcomers.
 //!
-//! Proofs and measurements run separate processes; this only shows the parts
-//! at work together.
+//! It only demonstrates how the parts work together; tests and measurements run separate
+//! processes.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -15,24 +15,25 @@
 use crate::site::{SampleSite, Site};
 use crate::{control, emulate, load, router};
 
-/// Where the search for a free range of ports begins and ends.
-/// It ends below the ports that systems give to outgoing connections.
-const PORTS: std::ops::Range<u16> = 10_000..32_000;
-const PORTS_STEP: usize = 1_000;
-/// How long the fleet may take to come up.
-const UP_WITHIN: Duration = Duration::from_secs(20);
+/// Range that is searched for free ports. It ends below the ports that operating systems assign to
+/// outgoing connections.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
+/// Distance of two candidates for the first port of the fleet.
+const PORT_STEP: usize = 1_000;
+/// How long to wait until all routers accept connections.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the fleet with a load for `seconds` and returns what was measured.
 pub async fn run(seconds: u64, progress: impl Fn(f64)) -> Result<LoadReport> {
     let data = tempdir()?;
-    let site = plan(&data)?;
+    let site = plan_site(&data)?;
     let stop = CancellationToken::new();
     start(&site, &stop);
-    declare(&site).await?;
+    apply_configuration(&site).await?;
     wait_ready(&site).await?;
     let report = load::run(load_file(&site, seconds), |at, _| progress(at)).await;
     stop.cancel();
-    // The data folder is in the system's folder for such files.
+    // A failure leaves files only in the system's folder for temporary files.
     let _ = std::fs::remove_dir_all(&data);
     report
 }
@@ -44,12 +45,13 @@
     Ok(path)
 }
 
-fn plan(data: &Path) -> Result<Site> {
+/// A small site on free ports.
+fn plan_site(data: &Path) -> Result<Site> {
     let free = |port: &u16| {
         let address = SocketAddr::from(([127, 0, 0, 1], port + 100));
         TcpListener::bind(address).is_ok()
     };
-    let base = PORTS.step_by(PORTS_STEP).find(free);
+    let base = PORT_RANGE.step_by(PORT_STEP).find(free);
     let base = base.ok_or_else(|| Error::Load { message: "no free ports".into() })?;
     let small = Site {
         routers: 3,
@@ -86,7 +88,7 @@
     });
 }
 
-async fn declare(site: &Site) -> Result<()> {
+async fn apply_configuration(site: &Site) -> Result<()> {
     let document = serde_saphyr::to_string(&site.configuration());
     let document = document.map_err(|e| Error::Load { message: e.to_string() })?;
     let request = proto::ApplyRequest { operation: "demo".into(), document, ..Default::default() };
@@ -107,10 +109,11 @@
         }
     };
     let timed_out = |_| Error::Load { message: "the fleet did not come up".into() };
-    tokio::time::timeout(UP_WITHIN, up).await.map_err(timed_out)
+    tokio::time::timeout(STARTUP_TIMEOUT, up).await.map_err(timed_out)
 }
 
-/// Two customers flood with manifests, one chats now and then, one sells seats.
+/// Two customers send bulk requests to the model, one sends occasional chats, and one sends keyed
+/// calls to the plain service.
 fn load_file(site: &Site, seconds: u64) -> LoadFile {
     let customer = |name: &str, share, arrival, output, routers: &[usize]| LoadCustomer {
         name: name.into(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! bramblecrank: a router fleet for customers who share capacity fairly.
 //!
-//! The decision parts are state machines without I/O, clock or randomness that
-//! others can embed: [`dispatch`] (who is served next, and where), [`agree`]
-//! (a replicated log), [`member`] (who is in the fleet), [`admission`], and
-//! [`claim`] (calls that run at most once). Around them stand the processes:
-//! [`router`], [`control`], and the emulators in [`emulate`].
+//! The decision logic consists of state machines without I/O, clock or randomness, which other
+//! programs can embed: [`dispatch`] (which request is served next, and at which endpoint),
+//! [`agree`] (a replicated log), [`member`] (fleet membership), [`admission`], and [`claim`]
+//! (calls that run at most once). The processes built on them are [`router`], [`control`], and
+//! the emulators in [`emulate`].
 
 pub mod admission;
 pub mod agree;
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -1,5 +1,5 @@
-//! How a configuration spreads: members say their version in heartbeats, and
-//! whoever is behind pulls the deltas.
+//! Propagation of the configuration: hosts announce their version in heartbeats, and a host with
+//! an older version pulls the missing deltas.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::peer::Peers;
 use crate::wire::{Heartbeat, Open, PullResponse, SentBytes, write_frame};
 
-/// How long a pull may take.
+/// Maximum duration of a pull.
 const PULL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long to wait after a failed pull.
-const PULL_PAUSE: Duration = Duration::from_millis(200);
+const PULL_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// The configuration in force in this process, and recent deltas.
 #[derive(Debug)]
@@ -42,27 +42,27 @@
         self.current.borrow().clone()
     }
 
-    /// The configuration as it changes.
+    /// Watches the configuration in force.
     pub fn watch(&self) -> watch::Receiver<Arc<Config>> {
         self.current.subscribe()
     }
 
-    /// Since when it has been in force, in milliseconds since the epoch.
+    /// When the configuration came into force, in milliseconds since the epoch.
     pub fn since_ms(&self) -> u64 {
         *self.since_ms.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adopts what was pulled, if it is newer.
+    /// Adopts a pulled configuration if it is newer; returns whether it was.
     pub fn adopt(&self, pulled: PullResponse) -> bool {
         self.change(|history| history.adopt(pulled))
     }
 
-    /// Puts a history in force that was agreed on here.
+    /// Puts a history in force that the control group has committed.
     pub fn replace(&self, history: History) {
         self.change(|current| *current = history);
     }
 
-    /// Works on the history and puts its newest version in force.
+    /// Applies `f` to the history and puts its newest version in force.
     fn change<T>(&self, f: impl FnOnce(&mut History) -> T) -> T {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         let result = f(&mut history);
@@ -80,19 +80,19 @@
         result
     }
 
-    /// What a process needs that has version `held_version`.
+    /// Returns what a process with version `held_version` needs to reach the newest version.
     pub fn since(&self, held_version: u64) -> PullResponse {
         self.history.lock().unwrap_or_else(PoisonError::into_inner).since(held_version)
     }
 
-    /// Recent deltas, newest first.
-    pub fn recent(&self, most: usize) -> Vec<Delta> {
+    /// Returns up to `limit` recent deltas, newest first.
+    pub fn recent(&self, limit: usize) -> Vec<Delta> {
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        history.deltas().rev().take(most).cloned().collect()
+        history.deltas().rev().take(limit).cloned().collect()
     }
 }
 
-/// Answers a peer's pull.
+/// Sends the deltas, or a snapshot, that a pulling peer needs.
 pub async fn answer_pull(
     configs: Arc<CurrentConfig>,
     sent: SentBytes,
@@ -102,18 +102,18 @@
     let pulled = configs.since(held_version);
     match write_frame(&mut writer, &pulled).await {
         Ok(bytes) => sent.add(bytes),
-        Err(error) => log::debug!("config: a pull broke off: {error}"),
+        Err(error) => log::debug!("config: answering a pull failed: {error}"),
     }
 }
 
-/// Pulls whenever a live member has a newer version than this process.
+/// Pulls whenever a live member announces a newer version than this process has.
 pub async fn pull_updates(configs: Arc<CurrentConfig>, peers: Arc<Peers>) {
     let mut view = peers.watch();
     loop {
         let held_version = configs.current().version;
         let newest = view.borrow_and_update().live.iter().max_by_key(|m| m.version).cloned();
-        let behind = newest.filter(|m| m.version > held_version && m.host != peers.me);
-        let Some(member) = behind else {
+        let newer = newest.filter(|m| m.version > held_version && m.host != peers.me);
+        let Some(member) = newer else {
             if view.changed().await.is_err() {
                 return;
             }
@@ -122,13 +122,13 @@
         match pull(&peers, &member, held_version).await {
             Ok(pulled) => {
                 if !configs.adopt(pulled) {
-                    tokio::time::sleep(PULL_PAUSE).await;
+                    tokio::time::sleep(PULL_RETRY_PAUSE).await;
                 }
                 peers.set_version(configs.current().version);
             }
             Err(error) => {
                 log::warn!("config: pull from host {} failed: {error}", member.host);
-                tokio::time::sleep(PULL_PAUSE).await;
+                tokio::time::sleep(PULL_RETRY_PAUSE).await;
             }
         }
     }
@@ -147,7 +147,7 @@
     }
 }
 
-/// Says the newest accepted version in this host's heartbeats.
+/// Announces the version in force in this host's heartbeats.
 pub async fn announce_version(configs: Arc<CurrentConfig>, peers: Arc<Peers>) {
     let mut current = configs.watch();
     loop {
