--- a/tests/soak/crashers.rs
+++ b/tests/soak/crashers.rs
@@ -89,7 +89,7 @@
         let body = format!("innocent {}", self.sent);
         let (id, answer) = self.send(router, &body).await;
         let is_wrongly_refused = answer.as_ref().is_some_and(|a| a.body == "crashes_endpoints");
-        let answer = answer.map(|answer| (answer.status, answer.body, answer.whole));
+        let answer = answer.map(|answer| (answer.status, answer.body, answer.complete));
         self.context.record(|h| {
             if is_wrongly_refused {
                 h.wrongly_refused.push(id.clone());
