--- a/tests/soak/actors.rs
+++ b/tests/soak/actors.rs
@@ -145,7 +145,7 @@
     let asked = Instant::now();
     let answer = call_control(context.fleet.control(control), "GET", "/config", "").await?;
     let text = answer.body;
-    if answer.status != 200 || !answer.whole {
+    if answer.status != 200 || !answer.complete {
         return None;
     }
     let version = text.split_once(',')?.0.rsplit(':').next()?.parse().ok()?;
@@ -179,7 +179,7 @@
         let times = CallTimes { start_number, asked, answered: Instant::now() };
         let times = Some(times)
             .filter(|_| answer.is_some() && context.fleet.start_number(host) == start_number);
-        let answer = answer.map(|a| (a.status, a.body, a.whole));
+        let answer = answer.map(|a| (a.status, a.body, a.complete));
         context.record(|h| h.calls.push(Call { id, router, times, once, answer }));
         tokio::time::sleep(CALL_INTERVAL).await;
     }
@@ -203,7 +203,7 @@
         };
         stream.write_all(text.as_bytes()).await.ok()?;
         let answer = read_answer(&mut stream).await?;
-        if answer.whole && answer.header("connection") != Some("close") {
+        if answer.complete && answer.header("connection") != Some("close") {
             *connection = Some(stream);
         }
         Some(answer)
@@ -298,7 +298,7 @@
     let control = context.fleet.control(rng.random_range(0..context.fleet.size.controls));
     let answer = call_control(control, "GET", "/rollouts/app", "").await?;
     let rollout = match answer.status {
-        200 if answer.whole => {
+        200 if answer.complete => {
             let text = |name: &str| {
                 let value = answer.body.split_once(&format!(r#""{name}":""#))?.1;
                 Some(value.split_once('"')?.0.to_string())
@@ -319,7 +319,7 @@
     let stamp = Instant::now();
     let id = format!("s{number}-{stamp:?}").replace([' ', '{', '}', ':', ','], "");
     let answer = call(&mut None, context.fleet.front(number), &id, false).await;
-    let answer = answer.map(|a| (a.status, a.body, a.whole));
+    let answer = answer.map(|a| (a.status, a.body, a.complete));
     let served = answer.as_ref().is_some_and(|(status, ..)| *status == 200);
     context.record(|h| h.calls.push(Call { id, router: number, times: None, once: false, answer }));
     served
