--- a/src/control.rs
+++ b/src/control.rs
@@ -65,7 +65,7 @@
     /// The newest accepted configuration that this host has applied or received.
     pub configs: Arc<CurrentConfig>,
     /// The newest routing in force that this host has applied or received.
-    pub documents: Arc<CurrentRouting>,
+    pub routing: Arc<CurrentRouting>,
     /// Endpoints that registered themselves with this or another host.
     pub registry: Arc<SharedRegistry>,
     /// The rollouts of releases, and the reports and grants for them.
@@ -88,7 +88,7 @@
     /// The state that this host publishes in its feeds and receives from those of other hosts.
     fn fleet_state(&self) -> FleetState {
         FleetState {
-            documents: self.documents.clone(),
+            routing: self.routing.clone(),
             registry: self.registry.clone(),
             rollouts: self.rollouts.clone(),
             quarantine: self.quarantine.clone(),
@@ -136,7 +136,7 @@
     let (peers, incoming) = Peers::start(&settings.host, role, settings.operator).await?;
     let configs = Arc::new(CurrentConfig::default());
     let fleet_state = FleetState::default();
-    let FleetState { documents, registry, rollouts, quarantine } = fleet_state.clone();
+    let FleetState { routing, registry, rollouts, quarantine } = fleet_state.clone();
     registry.remember(saved::load(&settings.data));
     tokio::spawn(saved::keep_saved(registry.clone(), settings.data.clone()));
     let (handle, driver) = driver::start(
@@ -154,7 +154,7 @@
             let current = leadership.borrow();
             current.leads.then_some(current.term)
         },
-        documents.clone(),
+        routing.clone(),
         registry.clone(),
         settings.host.regions.clone(),
         peers.sent.of(Traffic::Placement),
@@ -164,7 +164,7 @@
         settings,
         peers,
         configs,
-        documents,
+        routing,
         registry,
         rollouts,
         quarantine,
--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -49,7 +49,7 @@
     pub async fn replace_document(&self, document: Document) -> Result<u64, CallError> {
         document.table.check().map_err(CallError::Invalid)?;
         let version = document.table.version;
-        let current = self.documents.current().map(|routing| routing.table.version);
+        let current = self.routing.current().map(|routing| routing.table.version);
         if let Some(current) = current.filter(|current| *current >= version) {
             self.handle.read().await?;
             return Ok(current);
@@ -81,7 +81,7 @@
 
     /// The metrics of this host, in the Prometheus text format.
     pub fn render_metrics(&self) -> String {
-        let version = self.documents.current().map_or(0, |routing| routing.table.version);
+        let version = self.routing.current().map_or(0, |routing| routing.table.version);
         let leadership = self.handle.leadership.borrow().clone();
         let (endpoints, drained) =
             self.registry.read(|r| (r.all().count(), r.drained().names().count()));
--- a/src/control/published.rs
+++ b/src/control/published.rs
@@ -18,7 +18,7 @@
         let fleet_state = &self.fleet_state;
         self.configs.replace(state.history().clone());
         if let Some(document) = state.document() {
-            fleet_state.documents.adopt(document.clone());
+            fleet_state.routing.adopt(document.clone());
         }
         fleet_state.registry.adopt_drained(state.drained().clone());
         fleet_state.rollouts.adopt(state.rollouts().clone(), &fleet_state.registry);
--- a/src/control/registrations.rs
+++ b/src/control/registrations.rs
@@ -48,7 +48,7 @@
     /// Records a registration. The feeds of this host send it to the connected routers at once.
     /// Any control host does so by itself: this needs no leader.
     pub fn register(&self, registration: Registration) -> RegistrationOutcome {
-        let routing = self.documents.current();
+        let routing = self.routing.current();
         let mut outcome = RegistrationOutcome::Accepted;
         // Check and merge under one lock: of concurrent registrations of this endpoint for two
         // services, one is recorded.
--- a/src/control/tests/folder.rs
+++ b/src/control/tests/folder.rs
@@ -52,7 +52,7 @@
 
 struct Started {
     configs: Arc<CurrentConfig>,
-    documents: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
     task: tokio::task::JoinHandle<Result<()>>,
     _handle: crate::control::Handle,
@@ -62,23 +62,23 @@
     let (peers, _incoming) = start_peers(Role::Control, host, vec![]).await;
     let configs = Arc::new(CurrentConfig::default());
     let fleet_state = FleetState::default();
-    let FleetState { documents, registry, .. } = fleet_state.clone();
+    let FleetState { routing, registry, .. } = fleet_state.clone();
     let published = PublishedState { configs: configs.clone(), fleet_state };
     let (disk, found) = Disk::open(folder.path())?;
     let (_handle, task) = driver::start(&settings(folder, host), peers, published, disk, found)?;
-    Ok(Started { configs, documents, registry, task, _handle })
+    Ok(Started { configs, routing, registry, task, _handle })
 }
 
-fn version(documents: &CurrentRouting) -> u64 {
-    documents.current().map_or(0, |routing| routing.table.version)
+fn version(routing: &CurrentRouting) -> u64 {
+    routing.current().map_or(0, |routing| routing.table.version)
 }
 
 #[tokio::test]
 async fn a_driver_starts_with_a_folder_of_the_first_release() {
     let folder = folder(81, old_state(), old_commands());
     let started = start(&folder, 81).await.unwrap();
-    wait_until(|| version(&started.documents) == 6).await;
-    assert_eq!(started.documents.current().unwrap().table, document(6).table);
+    wait_until(|| version(&started.routing) == 6).await;
+    assert_eq!(started.routing.current().unwrap().table, document(6).table);
     wait_until(|| started.configs.current().version == 2).await;
     wait_until(|| started.registry.read(|r| r.drained().contains("c"))).await;
 }
--- a/src/feed.rs
+++ b/src/feed.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetState {
     /// The routing in force.
-    pub documents: Arc<CurrentRouting>,
+    pub routing: Arc<CurrentRouting>,
     /// The endpoints.
     pub registry: Arc<SharedRegistry>,
     /// The rollouts.
--- a/src/feed/publish.rs
+++ b/src/feed/publish.rs
@@ -116,7 +116,7 @@
 impl Feed {
     /// A feed on which nothing was sent yet.
     fn new(mut publication: Publication, requests: mpsc::Receiver<FeedRequest>) -> Feed {
-        let mut routing = publication.fleet_state.documents.watch();
+        let mut routing = publication.fleet_state.routing.watch();
         let mut changes = publication.fleet_state.registry.watch();
         let mut rollouts = publication.fleet_state.rollouts.watch();
         let mut quarantine = publication.fleet_state.quarantine.watch();
@@ -233,7 +233,7 @@
         let publication = &self.publication;
         match request {
             FeedRequest::Routing => {
-                let routing = publication.fleet_state.documents.current()?;
+                let routing = publication.fleet_state.routing.current()?;
                 let (version, encoded) = (routing.table.version, routing.encoded());
                 Some(FeedMessage::Routing { version, encoded })
             }
--- a/src/feed/subscribe.rs
+++ b/src/feed/subscribe.rs
@@ -111,7 +111,7 @@
 
     /// The version of the routing in force here; 0 before the first.
     fn held_version(&self) -> u64 {
-        self.fleet_state.documents.current().map_or(0, |routing| routing.table.version)
+        self.fleet_state.routing.current().map_or(0, |routing| routing.table.version)
     }
 
     /// The number of routers in the fleet, by the latest reports of control hosts.
@@ -277,7 +277,7 @@
                 self.tables_changed.notify_one();
             }
             FeedMessage::Routing { version, encoded } => {
-                if let Err(error) = self.fleet_state.documents.adopt_encoded(version, &encoded) {
+                if let Err(error) = self.fleet_state.routing.adopt_encoded(version, &encoded) {
                     log::error!("feed: routing version {version} of host {from}: {error}");
                 }
                 self.table_sources().fetch.record_delivery(from);
--- a/src/feed/tests/connection.rs
+++ b/src/feed/tests/connection.rs
@@ -17,21 +17,21 @@
 async fn serve(
     peers: Arc<Peers>,
     incoming: mpsc::Receiver<Incoming>,
-    documents: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
 ) {
-    serve_endpoints(peers, incoming, documents, Arc::default()).await;
+    serve_endpoints(peers, incoming, routing, Arc::default()).await;
 }
 
 /// Publishes to every subscriber, as a control host that leads.
 async fn serve_endpoints(
     peers: Arc<Peers>,
     mut incoming: mpsc::Receiver<Incoming>,
-    documents: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
 ) {
     while let Some(Incoming { open, reader, writer }) = incoming.recv().await {
         assert!(matches!(open, Open::Feed { .. }));
-        let publication = publication_of_leader(&peers, documents.clone(), registry.clone());
+        let publication = publication_of_leader(&peers, routing.clone(), registry.clone());
         tokio::spawn(publish(publication, peers.sent.clone(), reader, writer));
     }
 }
@@ -53,12 +53,12 @@
     ([control, router], [published, received], feeds)
 }
 
-fn fleet_state(documents: &Arc<CurrentRouting>) -> FleetState {
-    FleetState { documents: documents.clone(), ..FleetState::default() }
+fn fleet_state(routing: &Arc<CurrentRouting>) -> FleetState {
+    FleetState { routing: routing.clone(), ..FleetState::default() }
 }
 
-fn version(documents: &CurrentRouting) -> u64 {
-    documents.current().map_or(0, |routing| routing.table.version)
+fn version(routing: &CurrentRouting) -> u64 {
+    routing.current().map_or(0, |routing| routing.table.version)
 }
 
 #[tokio::test]
@@ -88,8 +88,8 @@
     let controls = [start(Role::Control, 11, vec![]).await, start(Role::Control, 12, vec![]).await];
     let published = [Arc::new(CurrentRouting::default()), Arc::new(CurrentRouting::default())];
     let mut hosts = Vec::new();
-    for ((control, incoming), documents) in controls.into_iter().zip(&published) {
-        tokio::spawn(serve(control.clone(), incoming, documents.clone()));
+    for ((control, incoming), routing) in controls.into_iter().zip(&published) {
+        tokio::spawn(serve(control.clone(), incoming, routing.clone()));
         hosts.push(control);
     }
     let (router, _) = start(Role::Router, 13, vec![address(11), address(12)]).await;
@@ -97,13 +97,13 @@
     let feeds = Subscriptions::start(router, fleet_state(&received), "a", Role::Router);
     wait_until(|| feeds.open_feeds() == 2).await;
     let size = postcard::to_stdvec(&large_table(1)).unwrap().len() as u64;
-    for documents in &published {
-        documents.adopt_table(large_table(1));
+    for routing in &published {
+        routing.adopt_table(large_table(1));
     }
     wait_until(|| version(&received) == 1).await;
     // Once the next, small table is in force, no host still has the large one to send.
-    for documents in &published {
-        documents.adopt_table(table(2));
+    for routing in &published {
+        routing.adopt_table(table(2));
     }
     wait_until(|| version(&received) == 2).await;
     let sent: u64 = hosts.iter().map(|host| host.sent.get()).sum();
@@ -114,15 +114,15 @@
 async fn a_table_is_fetched_from_another_host_if_one_sends_none() {
     let (first, first_incoming) = start(Role::Control, 21, vec![]).await;
     let (second, second_incoming) = start(Role::Control, 22, vec![]).await;
-    let documents = [Arc::new(CurrentRouting::default()), Arc::new(CurrentRouting::default())];
+    let routing = [Arc::new(CurrentRouting::default()), Arc::new(CurrentRouting::default())];
     // The first announces versions and never sends a table.
     tokio::spawn(announce(first_incoming, 3));
-    tokio::spawn(serve(second, second_incoming, documents[1].clone()));
+    tokio::spawn(serve(second, second_incoming, routing[1].clone()));
     let (router, _) = start(Role::Router, 23, vec![address(21), address(22)]).await;
     let received = Arc::new(CurrentRouting::default());
     let feeds = Subscriptions::start(router, fleet_state(&received), "a", Role::Router);
     wait_until(|| feeds.open_feeds() == 2).await;
-    documents[1].adopt_table(table(2));
+    routing[1].adopt_table(table(2));
     wait_until(|| version(&received) == 2).await;
     assert!(!feeds.is_current(), "a newer version is announced");
     drop(first);
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -33,7 +33,7 @@
     if gateway.with_overload(|overload| overload.refuses()) {
         return Err(Refusal::Overloaded);
     }
-    let routing = gateway.documents.current().ok_or(Refusal::NoRouting)?;
+    let routing = gateway.routing.current().ok_or(Refusal::NoRouting)?;
     let route = find_route(&routing, &parts).ok_or(Refusal::NoRoute)?.clone();
     let customer = find_customer(&routing, &route, &head)?;
     let regions = match customer {
--- a/src/gateway/callers.rs
+++ b/src/gateway/callers.rs
@@ -33,7 +33,7 @@
     keep_alive: KeepAlive,
     closing: &CancellationToken,
 ) {
-    let limits = gateway.documents.current().map(|r| r.table.limits.clone()).unwrap_or_default();
+    let limits = gateway.routing.current().map(|r| r.table.limits.clone()).unwrap_or_default();
     let service = service_fn(|call| {
         let gateway = gateway.clone();
         async move { Ok::<_, Infallible>(request::serve(gateway, call).await) }
--- a/src/gateway/nearby.rs
+++ b/src/gateway/nearby.rs
@@ -39,7 +39,7 @@
     /// The regions in which it may be served. The configuration in force at its arrival
     /// applies to its end, and newer ones restrict it further from then on.
     pub(super) fn current_regions(&self) -> AllowedRegions {
-        let newest = self.gateway.documents.current();
+        let newest = self.gateway.routing.current();
         let newest = newest.filter(|newest| newest.table.version != self.routing_version);
         let Some(newest) = newest else { return self.regions.clone() };
         let route = newest.route_by_name(&self.route.name);
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -89,7 +89,7 @@
 }
 
 async fn ready(State(gateway): State<Arc<Gateway>>) -> StatusCode {
-    let has_routing = gateway.documents.current().is_some();
+    let has_routing = gateway.routing.current().is_some();
     let has_capacity = gateway.with_overload(|overload| overload.is_ready());
     let ready = !gateway.stop.is_cancelled() && has_routing && has_capacity;
     match ready {
--- a/src/gateway/start_checks.rs
+++ b/src/gateway/start_checks.rs
@@ -128,7 +128,7 @@
     endpoint: &Registration,
     target: Target,
 ) -> Result<Request<Full<Bytes>>, CheckError> {
-    let routing = gateway.documents.current();
+    let routing = gateway.routing.current();
     let service = routing.as_ref().and_then(|routing| routing.service(&endpoint.service));
     let Some(service) = service else { return NoServiceSnafu.fail() };
     let path = &service.health_path;
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -37,7 +37,7 @@
     /// Connections to the other hosts.
     pub peers: Arc<Peers>,
     /// The routing in force.
-    pub documents: Arc<CurrentRouting>,
+    pub routing: Arc<CurrentRouting>,
     /// Registrations of endpoints.
     pub registry: Arc<SharedRegistry>,
     /// Releases that are rolled out.
@@ -79,14 +79,14 @@
         header_names: Arc<HeaderNames>,
         stop: CancellationToken,
     ) -> Arc<Gateway> {
-        let documents = Arc::new(CurrentRouting::default());
+        let routing = Arc::new(CurrentRouting::default());
         let registry = Arc::new(SharedRegistry::default());
         let rollouts = Arc::new(SharedRollouts::default());
         let hall = settings.host.hall.clone();
         let quarantine = Arc::new(SharedQuarantine::default());
         let guard = Arc::new(CrashGuard::new(quarantine.clone(), peers.me, peers.clock));
         let fleet_state = FleetState {
-            documents: documents.clone(),
+            routing: routing.clone(),
             registry: registry.clone(),
             rollouts: rollouts.clone(),
             quarantine,
@@ -94,7 +94,7 @@
         let feeds = Subscriptions::start(peers.clone(), fleet_state, &hall, Role::Router);
         let regions = settings.host.regions.clone();
         let local =
-            LocalPlacer::new(peers.me, peers.clock, documents.clone(), registry.clone(), regions);
+            LocalPlacer::new(peers.me, peers.clock, routing.clone(), registry.clone(), regions);
         let overload = Arc::new(Mutex::new(Overload::new(rules.overload)));
         let lag = watch_lag(overload.clone());
         let max_connections = rules.overload.max_caller_connections();
@@ -104,7 +104,7 @@
             settings,
             rules,
             peers,
-            documents,
+            routing,
             registry,
             rollouts,
             guard,
@@ -171,7 +171,7 @@
 
     /// The version of the routing in force; 0 before the first.
     pub(super) fn routing_version(&self) -> u64 {
-        self.documents.current().map_or(0, |routing| routing.table.version)
+        self.routing.current().map_or(0, |routing| routing.table.version)
     }
 
     /// All metrics in the text format.
--- a/src/placement/tests/sessions.rs
+++ b/src/placement/tests/sessions.rs
@@ -94,7 +94,7 @@
     let routing = Arc::new(CurrentRouting::default());
     let registry = Arc::new(SharedRegistry::default());
     let fleet_state = FleetState {
-        documents: routing.clone(),
+        routing: routing.clone(),
         registry: registry.clone(),
         ..FleetState::default()
     };
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -53,7 +53,7 @@
 /// What a leading control host publishes, with this routing and these endpoints.
 pub fn publication_of_leader(
     peers: &Peers,
-    documents: Arc<CurrentRouting>,
+    routing: Arc<CurrentRouting>,
     registry: Arc<SharedRegistry>,
 ) -> Publication {
     let leadership = Leadership {
@@ -66,7 +66,7 @@
     };
     Publication {
         subscriber: HostId(0),
-        fleet_state: FleetState { documents, registry, ..FleetState::default() },
+        fleet_state: FleetState { routing, registry, ..FleetState::default() },
         leadership: watch::Sender::new(leadership).subscribe(),
         view: peers.watch(),
         numbering: peers.incarnation,
