--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_hall_out_of_reach_gets_no_work_from_a_router() {
+fn a_hall_out_of_reach_gets_no_requests_from_a_router() {
     let mut harness = Harness::new(config(&[1], &[(0, 4), (1, 4)], 10));
     harness.send(ToDispatcher::Reach(HallSet::default().with(HallId(1))));
     for _ in 0..4 {
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_new_work() {
+fn a_leaving_endpoint_gets_no_new_requests() {
     let config = config(&[1], &[(0, 4), (0, 4)], 10);
     let mut harness = Harness::new(config.clone());
     let leaving = BTreeSet::from([EndpointId(0)]);
--- a/src/dispatch/tests/rests.rs
+++ b/src/dispatch/tests/rests.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_no_work_from_any_router_until_it_is_back() {
+fn a_leaving_endpoint_gets_no_requests_from_any_router_until_it_is_back() {
     let mut harness = one_endpoint();
     harness.join(OTHER, 1, HallSet::ALL, false, vec![]);
     set_leaving(&mut harness, true);
--- a/src/registry/tests.rs
+++ b/src/registry/tests.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn endpoints_of_a_drained_hall_get_no_new_work() {
+fn endpoints_of_a_drained_hall_get_no_new_requests() {
     let mut registry = Registry::default();
     registry.merge(registration("a1", 1, EndpointState::Ready), Direct);
     registry.merge(
@@ -162,7 +162,7 @@
     assert!(registry.get_ready("a1").is_none());
     assert!(registry.get("a1").is_some(), "running requests finish there");
     registry.merge(registration("a2", 1, EndpointState::Ready), Direct);
-    assert!(registry.get_ready("a2").is_none(), "endpoints that register later get no work either");
+    assert!(registry.get_ready("a2").is_none(), "endpoints that register later get none either");
 }
 
 #[test]
@@ -321,7 +321,7 @@
 
 /// The next rollout is of another release; endpoints of the bad one may still be running.
 #[test]
-fn endpoints_of_a_release_that_was_rolled_back_get_no_work_until_they_restart() {
+fn endpoints_of_a_release_that_was_rolled_back_get_no_requests_until_they_restart() {
     let mut registry = Registry::default();
     for endpoint in
         [registration_of_release("old", "v1", 100), registration_of_release("bad", "v2", 900)]
--- a/src/registry/tests/leaving.rs
+++ b/src/registry/tests/leaving.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_start_reported_as_leaving_takes_no_work_whatever_is_reported_later() {
+fn a_start_reported_as_leaving_accepts_no_requests_whatever_is_reported_later() {
     let mut registry = Registry::default();
     registry.merge(started(1_000, 5), Relayed);
     let current = registry.record_leaving(&start(1_000), Relayed).unwrap();
--- a/src/registry/tests/starts.rs
+++ b/src/registry/tests/starts.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_later_start_takes_work_whatever_the_earlier_one_reported() {
+fn a_later_start_accepts_requests_whatever_the_earlier_one_reported() {
     for end in [EndpointState::Ready, EndpointState::Leaving, EndpointState::Gone] {
         let mut registry = Registry::default();
         registry.merge(started(1_000, 50, EndpointState::Ready), Direct);
@@ -112,7 +112,7 @@
 /// A delayed end of the earlier start arrives after the later start has registered. The later
 /// one kept sending heartbeats, but got no work until it restarted.
 #[test]
-fn a_start_that_keeps_sending_heartbeats_after_an_end_takes_work_again() {
+fn a_start_that_keeps_sending_heartbeats_after_an_end_accepts_requests_again() {
     let mut here = Registry::default();
     let mut elsewhere = Registry::default();
     for sequence in 1..=3 {
@@ -168,7 +168,7 @@
 /// A host that has just started has no record of the endpoint, and its clock, or that of the
 /// endpoint, may be wrong by half a minute.
 #[test]
-fn a_start_that_keeps_sending_heartbeats_after_an_end_without_a_recorded_start_takes_work() {
+fn a_start_that_keeps_sending_heartbeats_after_an_end_without_a_recorded_start_accepts_requests() {
     let mut here = Registry::default();
     let mut elsewhere = Registry::default();
     let end = Registration { started_at_ms: 60_000, ..Registration::gone("e") };
--- a/src/rollout/tests/plan.rs
+++ b/src/rollout/tests/plan.rs
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn nothing_is_granted_while_no_endpoint_of_the_release_takes_work() {
+fn nothing_is_granted_while_no_endpoint_of_the_release_accepts_requests() {
     for situation in [canary(), shifting()] {
         assert_eq!(next_step(&Situation { new_slots: 0, ..situation }), Decision::Grant(0));
     }
--- a/src/rollout/tests/split.rs
+++ b/src/rollout/tests/split.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn without_a_grant_the_new_release_gets_nothing_as_long_as_another_takes_work() {
+fn without_a_grant_the_new_release_gets_nothing_as_long_as_another_accepts_requests() {
     for stage in [Stage::Canary, Stage::Shifting] {
         let mut scenario = Scenario::new(stage, None);
         assert_eq!(scenario.first(), not_new());
