--- a/src/emulate/engine.rs
+++ b/src/emulate/engine.rs
@@ -26,7 +26,7 @@
 use crate::settings::EngineSettings;
 
 /// Bytes of a prompt that count as one token.
-pub const CHARS_PER_TOKEN: usize = 4;
+pub const BYTES_PER_TOKEN: usize = 4;
 /// Bytes of one block of the prefix cache.
 const BLOCK_BYTES: usize = 1_024;
 /// Maximum number of cut streams that are kept for resuming.
@@ -108,7 +108,7 @@
     cut_streams: Mutex<HashMap<String, u32>>,
 }
 
-/// The work of one request, in tokens.
+/// The work of one request.
 #[derive(Clone, Debug)]
 struct Job {
     id: String,
@@ -191,7 +191,7 @@
         cut_after: Option<u32>,
     ) -> Option<Job> {
         let prompt: String = request.messages.iter().map(|m| m.content.as_str()).collect();
-        let prompt_tokens = prompt.len().div_ceil(CHARS_PER_TOKEN) as u32;
+        let prompt_tokens = prompt.len().div_ceil(BYTES_PER_TOKEN) as u32;
         if let Some(from) = resume {
             let mut cut_streams = self.cut_streams.lock().unwrap_or_else(PoisonError::into_inner);
             let total = cut_streams.remove(&id)?;
@@ -200,7 +200,7 @@
         }
         let limit = self.settings.cache_blocks;
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
-        let cached = cache.lookup(&prompt, limit) / CHARS_PER_TOKEN;
+        let cached = cache.lookup(&prompt, limit) / BYTES_PER_TOKEN;
         let fresh = u64::from(prompt_tokens) - cached as u64;
         let total = request.emulate.output_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
         let prefill = Duration::from_micros(fresh * self.settings.prefill_us);
--- a/src/load/observe.rs
+++ b/src/load/observe.rs
@@ -9,7 +9,7 @@
 use super::measure::Sample;
 
 /// Largest recorded latency in microseconds; longer ones are recorded as this value.
-const MAX_US: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// Number of answers to one keyed call, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -109,7 +109,7 @@
 /// Creates a histogram of microseconds.
 pub fn histogram() -> Histogram<u64> {
     // The library rejects only bounds that are out of range, which these are not.
-    Histogram::new_with_bounds(1, MAX_US, 3).expect("constant bounds are legal")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("constant bounds are legal")
 }
 
 /// Records a duration in microseconds.
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -40,7 +40,7 @@
     pub share: u32,
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: u64,
     /// Requests refused as not run.
     pub refused: u64,
@@ -79,7 +79,7 @@
     pub whole_ms: [f64; 3],
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: u64,
     /// Requests refused as not run.
     pub refused: u64,
--- a/src/load/request.rs
+++ b/src/load/request.rs
@@ -14,7 +14,7 @@
 use super::observe::{Observations, add, record};
 use crate::delivery::sse::{Chunk, DONE, Splitter};
 use crate::delivery::{HttpClient, header};
-use crate::emulate::engine::CHARS_PER_TOKEN;
+use crate::emulate::engine::BYTES_PER_TOKEN;
 
 /// Units charged for a call to a plain service: milliseconds of a slot.
 const PLAIN_CALL_UNITS: u64 = 20;
@@ -185,8 +185,8 @@
 }
 
 fn chat(customer: &LoadCustomer, planned: &PlannedRequest) -> serde_json::Value {
-    let shared = customer.shared_prefix.min(planned.prompt) as usize * CHARS_PER_TOKEN;
-    let total = planned.prompt as usize * CHARS_PER_TOKEN;
+    let shared = customer.shared_prefix.min(planned.prompt) as usize * BYTES_PER_TOKEN;
+    let total = planned.prompt as usize * BYTES_PER_TOKEN;
     let mut prompt = customer.name.repeat(shared / customer.name.len().max(1) + 1);
     prompt.truncate(shared);
     let own = format!("{}-{}-{} ", planned.customer, planned.prompt, planned.output);
--- a/tests/platform/notices.rs
+++ b/tests/platform/notices.rs
@@ -22,7 +22,7 @@
 /// one of them gets none of 20 requests once in a million times.
 pub const REQUESTS: usize = 20;
 /// Longer than any test runs.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const LONG_REST: Duration = Duration::from_secs(30);
 
 /// Sends requests until one more has reached the replica.
 pub async fn send_until_reached(fleet: &Fleet, path: &str, replica: &Replica) {
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn an_endpoint_that_requests_a_rest_gets_no_requests_during_it() {
     let (fleet, replicas) = fleet_with(&[Behaviour::Answer, Behaviour::Answer]).await;
-    replicas[0].rest(LONG);
+    replicas[0].rest(LONG_REST);
     send_until_reached(&fleet, "/once/x", &replicas[0]).await;
     assert_avoided(&fleet, "/once/x", &replicas[0]).await;
     // Longer than a router avoids an endpoint after a failure.
@@ -132,7 +132,7 @@
     };
     let before: Vec<_> = (0..4).map(send).collect();
     replicas[0].wait_for(|replica| !replica.seen().is_empty()).await;
-    replicas[0].rest(LONG);
+    replicas[0].rest(LONG_REST);
     let after: Vec<_> = (4..8).map(send).collect();
     for answered in before.into_iter().chain(after) {
         assert_eq!(answered.await.unwrap(), 200);
@@ -144,8 +144,8 @@
 #[tokio::test]
 async fn a_router_whose_endpoints_all_rest_refuses_at_once_with_retry_after() {
     let (fleet, replicas) = fleet_with(&[Behaviour::Answer, Behaviour::Answer]).await;
-    replicas[0].rest(LONG);
-    replicas[1].rest(LONG / 3);
+    replicas[0].rest(LONG_REST);
+    replicas[1].rest(LONG_REST / 3);
     // The first request reaches both endpoints, the others none; all get the same answer.
     for number in 0..REQUESTS {
         let answer = call(fleet.front, &post("/once/x", &format!("r{number}"), "")).await;
@@ -171,7 +171,7 @@
     // A huge duration counts as a rest that lasts until the endpoint restarts.
     for retry_after in ["1e300", "inf", "99999999999999999999999999"] {
         let (fleet, replicas) = fleet_with(&[Behaviour::Answer, Behaviour::Answer]).await;
-        replicas[0].rest_with_header(LONG, retry_after);
+        replicas[0].rest_with_header(LONG_REST, retry_after);
         send_until_reached(&fleet, "/once/x", &replicas[0]).await;
         assert_avoided(&fleet, "/once/x", &replicas[0]).await;
     }
@@ -193,7 +193,7 @@
         fleet.wait_ready().await;
         match is_leaving {
             true => replica.set_leaving(true),
-            false => replica.rest(LONG),
+            false => replica.rest(LONG_REST),
         }
         send_until_reached(&fleet, "/once/x", &replica).await;
         assert_eq!(call(fleet.front, &post("/once/x", "barred", "")).await.status, 503);
@@ -213,7 +213,7 @@
         let (fleet, replicas) = fleet_with(&breaks).await;
         match is_leaving {
             true => replicas[0].set_leaving(true),
-            false => replicas[0].rest(LONG),
+            false => replicas[0].rest(LONG_REST),
         }
         send_until_reached(&fleet, "/once/x", &replicas[0]).await;
         let before = replicas[0].arrivals().len();
--- a/tests/platform/regions.rs
+++ b/tests/platform/regions.rs
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_request_without_a_common_region_of_route_and_customer_assert_refused_as_not_run() {
+async fn a_request_without_a_common_region_of_route_and_customer_is_refused_as_not_run() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
     regions.restrict(101, r#"["far"]"#, r#"["near"]"#).await;
     regions.assert_refused("nowhere").await;
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn a_request_to_a_region_without_endpoints_assert_refused_as_not_run() {
+async fn a_request_to_a_region_without_endpoints_is_refused_as_not_run() {
     let regions = start(Behaviour::Answer, Behaviour::Answer).await;
     regions.restrict(101, r#"["near"]"#, "[]").await;
     regions.fleet.deregister(&regions.near).await;
--- a/tests/platform/replica.rs
+++ b/tests/platform/replica.rs
@@ -148,7 +148,7 @@
         self.state.leaving.store(leaving, Ordering::SeqCst);
     }
 
-    /// Simulates a restart: the replica neither leaves nor rests any more.
+    /// Simulates a restart: the replica is neither leaving nor resting any more.
     pub fn restart(&self) {
         self.set_leaving(false);
         *self.state.rest.lock().unwrap() = None;
--- a/tests/platform/starts.rs
+++ b/tests/platform/starts.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::{Fleet, configuration};
 use crate::http::call;
-use crate::notices::{LONG, REQUESTS, assert_avoided, send_until_reached};
+use crate::notices::{LONG_REST, REQUESTS, assert_avoided, send_until_reached};
 use crate::replica::{Behaviour, Replica};
 use crate::{get, post};
 
@@ -33,7 +33,7 @@
     fn set_at(self, replica: &Replica) {
         match self {
             Notice::Leaving => replica.set_leaving(true),
-            Notice::Rest => replica.rest(LONG),
+            Notice::Rest => replica.rest(LONG_REST),
         }
     }
 }
@@ -81,7 +81,7 @@
 #[tokio::test]
 async fn a_rest_requested_by_an_unknown_start_applies_once_the_start_is_known() {
     let (fleet, replicas) = fleet_of_two().await;
-    replicas[0].rest(LONG);
+    replicas[0].rest(LONG_REST);
     send_until_reached(&fleet, "/once/x", &replicas[0]).await;
     register_start(&fleet, &replicas[0], 2_000).await;
     fleet.settle().await;
