--- a/examples/slopes.rs
+++ b/examples/slopes.rs
@@ -22,7 +22,8 @@
 use bramblecrank::registry::EndpointStart;
 use bramblecrank::store::Disk;
 use bramblecrank::wire::{
-    Beat, Completion, FromDispatcher, GrantRequest, Heartbeat, HostId, Role, ToDispatcher,
+    Completion, FromDispatcher, GrantRequest, Heartbeat, HeartbeatMessage, HostId, Role,
+    ToDispatcher,
 };
 
 fn main() {
@@ -99,8 +100,8 @@
     let done = ToDispatcher::Done { seq: 100_000, units: 1_500, completion: Completion::Answered };
     row("done", 1, bytes(&done), "B");
     row("progress", 1, bytes(&ToDispatcher::Progress { seq: 100_000, units: 1_500 }), "B");
-    row("whole heartbeat", 1, bytes(&Beat::Full(heartbeat(7))), "B");
-    let brief = Beat::Brief {
+    row("whole heartbeat", 1, bytes(&HeartbeatMessage::Full(heartbeat(7))), "B");
+    let brief = HeartbeatMessage::Brief {
         host: HostId(7),
         incarnation: 1_796_205_361_634,
         version: 123_456,
@@ -177,14 +178,15 @@
     for hosts in [10u32, 50, 200, 340] {
         let mut table = Members::new(heartbeat(0), vec![], Default::default());
         for host in 1..hosts {
-            table.on_heartbeat(0, heartbeat(host).peer, Beat::Full(heartbeat(host)));
+            table.on_heartbeat(0, heartbeat(host).peer, HeartbeatMessage::Full(heartbeat(host)));
         }
         let start = Instant::now();
         for round in 0..200 {
             for h in 1..hosts {
                 let host = HostId(h);
                 let incarnation = 1_796_205_361_634;
-                let brief = Beat::Brief { host, incarnation, version: 1, draining: false };
+                let brief =
+                    HeartbeatMessage::Brief { host, incarnation, version: 1, draining: false };
                 table.on_heartbeat(round, heartbeat(h).peer, brief);
             }
         }
--- a/src/eligibility.rs
+++ b/src/eligibility.rs
@@ -1,7 +1,7 @@
 //! Which endpoints a request may be sent to, independent of their load.
 //!
-//! The one definition for all places where an endpoint is chosen or a request is sent: the
-//! placer, a router that chooses by itself, and the check before each attempt.
+//! This definition is used wherever an endpoint is chosen or a request is sent: by the placer,
+//! by a router that chooses by itself, and in the check before each attempt.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -15,16 +15,16 @@
     pub region: &'a str,
     /// The release of its software.
     pub version: &'a str,
-    /// Its place in an order that every host computes alike: [`order_of`] its id.
+    /// Its position in an order that every host computes alike: [`order_of`] its id.
     pub order: u32,
 }
 
-/// The place of an endpoint in an order that every host computes alike from the id.
+/// The position of an endpoint in an order that every host computes alike from the id.
 pub fn order_of(id: &str) -> u32 {
     (xxh3_64(id.as_bytes()) >> 32) as u32
 }
 
-/// Which releases of a service may run a request during a roll-out.
+/// Which releases of a service may run a request during a rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VersionRule {
     /// All releases.
--- a/src/gateway/notices.rs
+++ b/src/gateway/notices.rs
@@ -21,7 +21,7 @@
         response: &Response<Incoming>,
     ) -> bool {
         let status = response.status();
-        // The answer is another endpoint's and says nothing about the intended one.
+        // The answer is another endpoint's, so its notice does not apply to the intended one.
         if status == StatusCode::MISDIRECTED_REQUEST {
             return false;
         }
@@ -85,9 +85,9 @@
 
     /// Whether an endpoint may be sent a request at this moment. It may have begun to leave or
     /// rest while the request was placed or waited for a connection.
-    pub(super) fn takes_work(&self, endpoint: &Registration) -> bool {
+    pub(super) fn accepts_requests(&self, endpoint: &Registration) -> bool {
         let now = self.now();
-        self.registry.read(|registry| registry.start_takes_work(endpoint))
+        self.registry.read(|registry| registry.start_accepts_requests(endpoint))
             && self.with_endpoints(|endpoints| {
                 endpoints.rest_left(now, endpoint).is_none()
                     && !endpoints.is_uncertain(now, endpoint)
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -26,6 +26,7 @@
 /// Delay in milliseconds that is added to the latest start of requests beyond their customer's
 /// share. Longer than any objective, so that they queue behind all requests within a share.
 const ABOVE_SHARE_DELAY_MS: f64 = 60_000.0;
+
 /// An engine in the placer's model.
 #[derive(Clone, Debug)]
 pub struct Engine {
@@ -42,7 +43,7 @@
     pub version: String,
     /// The region of its data hall.
     pub region: String,
-    /// Its position in a roll-out, from [`order_of`] its id.
+    /// Its position in the order of a rollout, from [`order_of`] its id.
     order: u32,
     /// The requests sent to it, and its learned reading rate.
     pub model: EngineModel,
@@ -92,13 +93,13 @@
     }
 
     /// Whether it may be sent requests at all.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.is_ready && !self.is_replaced
     }
 
     /// Whether other engines are preferred for requests of a router.
     pub fn should_avoid(&self, now: Millis, router: HostId) -> bool {
-        !self.takes_work()
+        !self.accepts_requests()
             || self.model.is_excluded(now)
             || self.model.is_stalled(now)
             || self.rests.should_avoid(now, router)
@@ -314,7 +315,7 @@
 
     /// Whether an engine may be sent the request at all.
     fn is_candidate(&self, engine: &Engine, request: &PlacementRequest) -> bool {
-        engine.takes_work()
+        engine.accepts_requests()
             && engine.service == request.service
             && !engine.rests.is_resting(self.now, self.router)
             && request.eligibility.allows(engine.candidate())
--- a/src/rollout/split.rs
+++ b/src/rollout/split.rs
@@ -61,7 +61,7 @@
     Granted,
     /// No grant is valid now.
     NoGrant,
-    /// No endpoint of an old release takes work.
+    /// No endpoint of an old release accepts requests.
     NoOther,
     /// The rollout has ended.
     Ended,
@@ -73,8 +73,8 @@
     pub rollout: Option<&'a Rollout>,
     /// The leader's grant, if one is valid.
     pub grant: Option<&'a Grant>,
-    /// Whether an endpoint of an old release takes work and could run the request.
-    pub others_take_work: bool,
+    /// Whether an endpoint of an old release accepts requests and could run the request.
+    pub others_accept_requests: bool,
 }
 
 /// Remainders of the routes of a service during one rollout.
@@ -126,7 +126,7 @@
         rollout: &Rollout,
         state: &RouterState<'_>,
     ) -> (VersionRule, SplitReason) {
-        if !state.others_take_work {
+        if !state.others_accept_requests {
             return (VersionRule::Any, SplitReason::NoOther);
         }
         let Some(grant) = state.grant else { return (not_new(rollout), SplitReason::NoGrant) };
@@ -219,7 +219,7 @@
     VersionRule::Not(rollout.order.version.clone())
 }
 
-/// The side of the release whose answer the caller has a piece of.
+/// The side of the release from which the caller has received part of the answer.
 fn bound_release(choice: &ReleaseChoice, rollout: &Rollout) -> Release {
     match choice.bound.as_ref() == Some(&rollout.order.version) {
         true => Release::New,
--- a/tests/starts/day.rs
+++ b/tests/starts/day.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// What the router knows about a start.
+/// A start as the router has recorded it.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownStart {
     pub number: u64,
@@ -114,7 +114,7 @@
         Start { begins, ends, leaves_at, rest: rest_at..rest_at + rest_ms, known_at, used_at: None }
     }
 
-    fn accepts_work(&self, now: u64) -> bool {
+    fn accepts_requests(&self, now: u64) -> bool {
         now >= self.begins && now < self.ends.min(self.leaves_at) && !self.rest.contains(&now)
     }
 
@@ -286,7 +286,7 @@
             if until < from + MIN_USABLE_MS || until > BEGIN_MS + DURATION_MS {
                 continue;
             }
-            debug_assert!(start.accepts_work(from));
+            debug_assert!(start.accepts_requests(from));
             self.results.usable += 1;
             match start.used_at {
                 Some(at) if at < until => {
