--- a/src/control.rs
+++ b/src/control.rs
@@ -127,10 +127,7 @@
     settings.check()?;
     let (disk, found) = open_disk(&settings).await?;
     if found.cut_bytes > 0 {
-        log::warn!(
-            "store: truncated an incomplete record of {} bytes at the end of the log",
-            found.cut_bytes
-        );
+        log::warn!("store: cut a torn tail of {} bytes off the log", found.cut_bytes);
     }
     let role = Role::Control;
     let (peers, incoming) = Peers::start(&settings.host, role, settings.operator).await?;
--- a/src/control/bootstrap.rs
+++ b/src/control/bootstrap.rs
@@ -30,7 +30,7 @@
         }
         let identities = identify_all(&control, &addresses).await;
         if identities.iter().any(|i| i.is_bootstrapped) {
-            log::warn!("control: the group exists already; this store waits to be added");
+            log::warn!("control: the group exists already; this store waits to be let in");
             return;
         }
         if let Some(members) = members_of(&founders, &identities) {
--- a/src/feed/feed_plan.rs
+++ b/src/feed/feed_plan.rs
@@ -26,7 +26,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Reason::Restarted => "has restarted",
-            Reason::Silent => "is live again, the feed was silent meanwhile",
+            Reason::Silent => "is back, the feed was silent meanwhile",
             Reason::Forgotten => "is no longer in the view",
         })
     }
--- a/src/feed/subscribe/feeds.rs
+++ b/src/feed/subscribe/feeds.rs
@@ -68,7 +68,7 @@
     loop {
         let before = delivered.load(Ordering::Relaxed);
         if let Err(error) = read_feed(&subscriptions, host, address, &delivered).await {
-            log::warn!("feed: connection to control host {host} lost: {error}");
+            log::warn!("feed: lost control host {host}: {error}");
             if matches!(error, Error::SilenceTimeout) {
                 // There may be no receiver.
                 let _ = subscriptions.silent.send(host);
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -218,8 +218,8 @@
 fn log_too_late(call: &Call, refusal: &placement::Refusal) {
     let placement::Refusal { backlog_ms, allowed_ms, own_ms, share_percent, .. } = *refusal;
     log::info!(
-        "gateway: request {} ({}) of {} cannot be answered in time: {backlog_ms} ms of prompts \
-         ahead of it, {allowed_ms} allowed, {own_ms} ms for its own, customer at {share_percent} % \
+        "gateway: request {} ({}) of {} cannot be in time: {backlog_ms} ms of prompts ahead of \
+         it, {allowed_ms} allowed, {own_ms} ms for its own, customer at {share_percent} % \
          of its share",
         call.number,
         call.head.id.as_deref().unwrap_or_default(),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -302,7 +302,7 @@
         HeartbeatMessage::RequestFull(_) => {
             log::info!("member: unknown host {to}, requested a full heartbeat")
         }
-        HeartbeatMessage::Full(_) => log::info!("member: sent a full heartbeat to host {to}"),
+        HeartbeatMessage::Full(_) => log::info!("member: introduced to host {to}"),
         HeartbeatMessage::Brief { .. } => {}
     }
 }
