--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -209,14 +209,14 @@
         }
     }
 
-    /// Treats a host as suspected for [`AVOID_MS`], after a connection to it failed.
+    /// Treats a host as suspected for `AVOID_MS`, after a connection to it failed.
     pub fn avoid(&mut self, now: Millis, host: HostId) {
         if let Some(member) = self.members.get_mut(&host) {
             member.avoid_until = now + AVOID_MS;
         }
     }
 
-    /// Removes hosts that have been silent for [`FORGET_AFTER_MS`].
+    /// Removes hosts that have been silent for `FORGET_AFTER_MS`.
     pub fn tick(&mut self, now: Millis) {
         self.members.retain(|_, m| m.last_heard + FORGET_AFTER_MS > now);
     }
