--- a/src/bin/bramblecrank/command.rs
+++ b/src/bin/bramblecrank/command.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs a control host; it also serves the platform's calls where its settings say so.
+/// Runs a control host; it also serves the platform's calls if its settings enable that.
 async fn run_control(settings: ControlSettings) -> Result<()> {
     let interface = settings
         .platform
--- a/src/control.rs
+++ b/src/control.rs
@@ -104,7 +104,7 @@
     pub app: Box<dyn FnOnce(Arc<Control>) -> axum::Router + Send>,
 }
 
-/// Opens the data folder. I/O errors are retried if the settings say `wait_for_disk`; a damaged
+/// Opens the data folder. I/O errors are retried if `wait_for_disk` is set; a damaged
 /// folder or one in use by another process is always an error.
 async fn open_disk(settings: &ControlSettings) -> Result<(Disk, RecoveredState)> {
     loop {
--- a/src/control/registrations.rs
+++ b/src/control/registrations.rs
@@ -59,7 +59,7 @@
         outcome
     }
 
-    /// Records that an endpoint ended. The call does not say which start ended: it applies to the
+    /// Records that an endpoint ended. The call does not state which start ended: it applies to the
     /// start that is known here or, where none is, to any that may have begun by now. If that
     /// start continues to register, it gets requests again.
     pub fn deregister(&self, id: &str) {
--- a/src/feed/host_reports.rs
+++ b/src/feed/host_reports.rs
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Whether messages that are read from a control host now were sent a moment ago.
+    /// Whether messages that are read from a control host now were sent recently, rather than
+    /// before a stall.
     pub fn is_fresh(&self, now: Millis, from: HostId) -> bool {
         self.ticked_recently(now)
             && self.hosts.get(&from).is_some_and(|report| report.sent_since_stall == self.stalls)
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -222,7 +222,7 @@
     fn observed_mut(&mut self, id: &str, started_at_ms: u64) -> Option<&mut ObservedEndpoint> {
         let observed = self.observed.entry(id.to_string()).or_default();
         if observed.started_at_ms < started_at_ms {
-            // Requests sent a moment ago may have reached this start, which is cold.
+            // Requests sent shortly before may have reached this start, which is cold.
             let sent = std::mem::take(&mut observed.sent);
             *observed = ObservedEndpoint { started_at_ms, sent, ..ObservedEndpoint::default() };
         }
--- a/src/gateway/header_names.rs
+++ b/src/gateway/header_names.rs
@@ -72,7 +72,7 @@
     pub key: HeaderName,
     /// Milliseconds left until the deadline.
     pub deadline: HeaderName,
-    /// Tokens of the prompt and most tokens of output, as `PROMPT,OUTPUT`.
+    /// Tokens of the prompt and maximum tokens of output, as `PROMPT,OUTPUT`.
     pub tokens: HeaderName,
     /// The prompt's parts, as `ID:TOKENS,...`.
     pub parts: HeaderName,
--- a/src/gateway/nearby.rs
+++ b/src/gateway/nearby.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Why no endpoint was found for a request, given the regions of the endpoints that take
-/// work: the allowed regions are the reason only if none of the endpoints is in one.
+/// Why no endpoint was found for a request, given the regions of the endpoints that
+/// accept requests: the allowed regions are the reason only if none of the endpoints is in one.
 pub(super) fn no_endpoint_reason<'a>(
     allowed: &AllowedRegions,
     mut ready: impl Iterator<Item = &'a str>,
--- a/src/gateway/neighbours.rs
+++ b/src/gateway/neighbours.rs
@@ -17,7 +17,7 @@
 /// gone is skipped until then, since it does not answer.
 pub(super) const REFRESH_INTERVAL_MS: Millis = 2_000;
 
-/// Which other routers of the data hall refused lately.
+/// Which other routers of the data hall refused recently.
 #[derive(Clone, Debug, Default)]
 pub struct Neighbours {
     refused_until: HashMap<HostId, Millis>,
@@ -25,7 +25,7 @@
 }
 
 impl Neighbours {
-    /// One of `known` that has not refused lately, chosen by a random number.
+    /// One of `known` that has not refused recently, chosen by a random number.
     pub fn choose(&self, now: Millis, known: &[Neighbour], random: u64) -> Option<Neighbour> {
         let is_candidate =
             |n: &&Neighbour| self.refused_until.get(&n.host).is_none_or(|t| *t <= now);
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// A router's own load, and the work that it accepts under it.
+/// A router's own load, and which connections and requests it accepts under it.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
     rules: OverloadRules,
--- a/src/load/file.rs
+++ b/src/load/file.rs
@@ -25,7 +25,7 @@
     pub ledgers: Vec<SocketAddr>,
     /// Duration of the load in seconds, including the warm-up.
     pub duration_s: f64,
-    /// Seconds at the start that are not measured.
+    /// Seconds at the start that are excluded from the results.
     #[serde(default = "default_warmup")]
     pub warmup_s: f64,
     /// Seed of the random generators.
--- a/src/registry/shared.rs
+++ b/src/registry/shared.rs
@@ -14,7 +14,7 @@
 const RESTORED_PERIOD: Duration = Duration::from_millis(RESTORED_WARMUP_MS);
 /// How long endpoints count as ready after a restart without a new heartbeat: two of their
 /// heartbeats, which come every 1.2 s on the platform. One that left meanwhile gets no new
-/// work after that.
+/// requests after that.
 const REMEMBERED_PERIOD: Duration = Duration::from_millis(2_500);
 
 /// A registry behind a lock, with a channel for its changes.
--- a/src/registry/tests/starts.rs
+++ b/src/registry/tests/starts.rs
@@ -110,7 +110,7 @@
 }
 
 /// A delayed end of the earlier start arrives after the later start has registered. The later
-/// one kept sending heartbeats, but got no work until it restarted.
+/// one kept sending heartbeats, but got no requests until it restarted.
 #[test]
 fn a_start_that_keeps_sending_heartbeats_after_an_end_accepts_requests_again() {
     let mut here = Registry::default();
--- a/src/rollout/analysis.rs
+++ b/src/rollout/analysis.rs
@@ -17,7 +17,7 @@
 /// windows in which chance may count against a good release, so it requires more evidence, by
 /// the logarithm of how many times longer it is.
 const REFERENCE_DURATION_MS: f64 = 12_000.0;
-/// Most evidence that one window may add, as a fraction of that which rejects: an endpoint
+/// Maximum evidence that one window may add, as a fraction of that which rejects: an endpoint
 /// that crashes truncates many answers at once, and the other endpoints' answers in the
 /// following windows are evidence for the release.
 const MAX_WINDOW_FRACTION: f64 = 0.17;
--- a/tests/crashes/day.rs
+++ b/tests/crashes/day.rs
@@ -60,7 +60,7 @@
     pub wrongly_refused: usize,
     /// Endpoints ended by culprits.
     pub ended: usize,
-    /// Most sends of one culprit later than [`PROPAGATION_MS`] after its third crash.
+    /// Maximum number of sends of one culprit later than [`PROPAGATION_MS`] after its third crash.
     pub max_late_sends: usize,
 }
 
--- a/tests/rests/day.rs
+++ b/tests/rests/day.rs
@@ -49,7 +49,7 @@
     pub turned_away: usize,
     /// Requests that no endpoint served.
     pub refused: usize,
-    /// Most arrivals at an endpoint within a tenth of a second after its rest, divided by the
+    /// Maximum arrivals at an endpoint within a tenth of a second after its rest, divided by the
     /// average number in that time.
     pub peak_ratio: f64,
     /// Milliseconds after it last turned a request away until an endpoint got at least 80 % of
--- a/tests/starts/day.rs
+++ b/tests/starts/day.rs
@@ -21,7 +21,7 @@
 const QUERY_MS: Range<u64> = 1..20;
 /// Milliseconds until a query without an answer is repeated.
 const QUERY_RETRY_MS: u64 = 200;
-/// Milliseconds for which a start must accept work to count as usable.
+/// Milliseconds for which a start must accept requests to count as usable.
 const MIN_USABLE_MS: u64 = 2_500;
 /// Length of a rest, in milliseconds.
 const REST_MS: Range<u64> = 300..4_000;
@@ -48,10 +48,10 @@
 #[derive(Debug, Default)]
 pub struct Results {
     pub requests: u64,
-    /// Requests that reached a start after its notice that it refuses work had reached the
+    /// Requests that reached a start after its notice that it refuses requests had reached the
     /// router.
     pub violations: u64,
-    /// Starts that accepted work for at least [`MIN_USABLE_MS`] once they were known.
+    /// Starts that accepted requests for at least [`MIN_USABLE_MS`] once they were known.
     pub usable: u64,
     /// Usable starts that got no request.
     pub unused: u64,
@@ -278,7 +278,7 @@
 
     fn evaluate(mut self) -> Results {
         for start in &self.starts {
-            // The span from when the start was known and accepted work until it refused work.
+            // The span from when the start was known and accepted requests until it refused them.
             let rests_at_first = start.rest.contains(&start.known_at);
             let from = if rests_at_first { start.rest.end } else { start.known_at };
             let rest_begins = if start.rest.start > from { start.rest.start } else { u64::MAX };
